--- a/ryepier/emulator/api_server.py
+++ b/ryepier/emulator/api_server.py
@@ -36,18 +36,18 @@
 class ApiServerFaults:
     """Faults of the server; each has an effect while its field is set."""
 
-    silent: bool = False  # connections stay open, and nothing is written
+    silent: bool = False  # nothing is written, while the connections stay open
     retry_after_s: int | None = None  # requests are answered with 429 and this Retry-After
     truncates_watches: bool = False  # watches end in the middle of their first event
     max_write_bytes: int = 0  # 0 = no limit
-    write_pause_s: float = 0.0  # after each write, if `max_write_bytes` is set
+    write_pause_s: float = 0.0  # pause after each write, if `max_write_bytes` is set
     omits_bookmarks: bool = False
     rejects_tokens: bool = False  # every token is rejected
 
 
 @dataclass(frozen=True, slots=True)
 class Resource:
-    """The target of a path: one object, or without a name a list. An empty namespace stands for all namespaces."""
+    """The target of a path: an object, or a list if `name` is empty. An empty namespace stands for all namespaces."""
 
     namespace: str
     name: str
@@ -73,15 +73,15 @@
     labels: dict[str, str]
     version: int
     wants_bookmarks: bool
-    ends_at_s: float  # on the monotonic clock
+    ends_at_s: float  # when the watch times out, on the monotonic clock
 
 
 OnWritten = Callable[[asyncio.StreamWriter, list[ApiObject], bool], None]
-"""Called with a connection, the objects that have been written to it, and whether they are a full list."""
+"""Called after objects have been written: with the connection, the objects, and whether they are a full list."""
 
 
 class ApiServer:
-    """An API server on one address. After a change of the store, the caller must call `on_change`."""
+    """An API server on one address. After each change of the store, the caller must call `on_change`."""
 
     def __init__(
         self, store: Store, token: str = "", on_written: OnWritten | None = None, bookmark_interval_s: float = 1.0
@@ -99,7 +99,7 @@
         self._on_written = on_written or (lambda writer, objects, is_full_list: None)
         self._server: asyncio.Server | None = None
         self._writers: dict[asyncio.StreamWriter, None] = {}  # in the order in which they were opened
-        self._change_event = asyncio.Event()  # set, and replaced by a new one, at each change
+        self._change_event = asyncio.Event()  # set at each change, and then replaced by a new event
 
     async def listen(self, host: str, port: int, tls: ssl.SSLContext | None = None) -> int:
         """Accept connections, and return the port, which the system selects if `port` is 0."""
@@ -166,7 +166,7 @@
             message = "the server has received too many requests"
             raise ApiError(http.HTTPStatus.TOO_MANY_REQUESTS, "TooManyRequests", message)
         if method != GET:
-            message = "this stand-in only lists and watches"
+            message = "the emulated API server supports only GET requests"
             raise ApiError(http.HTTPStatus.METHOD_NOT_ALLOWED, "MethodNotAllowed", message)
 
     async def _get(self, target: str, writer: asyncio.StreamWriter) -> None:
@@ -200,8 +200,8 @@
     ) -> None:
         """Serve a watch until its timeout.
 
-        The watch begins after the requested resource version; without one, it begins with the existing objects as
-        ADDED events. Raises ApiError if the events after the version have been compacted.
+        The watch begins after the requested resource version. Without a version, it begins with the existing objects
+        as ADDED events. Raises ApiError if the events after the version have been compacted.
         """
         requested_version = query.get("resourceVersion", "")
         version = int(requested_version) if requested_version.isdecimal() else 0
@@ -223,7 +223,7 @@
     async def _stream_events(self, watch: Watch) -> None:
         """Write events as they happen, and a bookmark after `bookmark_interval_s` without a change."""
         while system.monotonic() < watch.ends_at_s and not watch.writer.is_closing():
-            change_event = self._change_event  # read before the writes below, so that no change during them is missed
+            change_event = self._change_event  # read before writing, so that no change is missed
             if not self.faults.silent:
                 try:
                     await self._write_new_events(watch)
@@ -275,7 +275,7 @@
         await self._write(writer, head.encode() + data)
 
     async def _write(self, writer: asyncio.StreamWriter, data: bytes) -> None:
-        """Write data; the faults may split it into small writes with pauses."""
+        """Write data; a fault may split it into small writes with pauses."""
         write_size = self.faults.max_write_bytes or len(data)
         for begin in range(0, len(data), write_size):
             writer.write(data[begin : begin + write_size])
--- a/ryepier/emulator/api_store.py
+++ b/ryepier/emulator/api_store.py
@@ -22,10 +22,10 @@
 
 
 class ApiError(RyepierError):
-    """A failed call, which the API answers with a Status object."""
+    """A failure of an API call, which is answered with a Status object."""
 
     def __init__(self, code: http.HTTPStatus, reason: str, message: str) -> None:
-        """Build the Status object; `reason` is the API's machine-readable code of the failure."""
+        """Build the Status object. `reason` is the API's machine-readable reason, such as NotFound."""
         self.code = code
         self.status = {
             "kind": "Status",
@@ -43,7 +43,7 @@
     """The call refers to a resource version whose events have been compacted."""
 
     def __init__(self, message: str) -> None:
-        """Build a Status object with code 410 (Gone)."""
+        """Build the Status object, with code 410 (Gone) and reason Expired."""
         super().__init__(http.HTTPStatus.GONE, "Expired", message)
 
 
@@ -73,15 +73,13 @@
     for requirement in filter(None, text.split(",")):
         key, equals, value = requirement.replace("==", "=").partition("=")
         if not equals or key.endswith("!"):
-            raise ApiError(
-                http.HTTPStatus.BAD_REQUEST, "BadRequest", f"this stand-in knows no selector {requirement!r}"
-            )
+            raise ApiError(http.HTTPStatus.BAD_REQUEST, "BadRequest", f"unsupported label selector: {requirement!r}")
         labels[key.strip()] = value.strip()
     return labels
 
 
 def matches(api_object: ApiObject, labels: dict[str, str]) -> bool:
-    """Return whether an object has all these labels, with the same values."""
+    """Return whether an object has all the given labels, with the same values."""
     object_labels = api_object["metadata"]["labels"]
     return all(object_labels.get(key) == value for key, value in labels.items())
 
@@ -98,7 +96,7 @@
         self._last_uid = 0
 
     def put(self, namespace: str, name: str, content: ApiObject, labels: dict[str, str] | None = None) -> ApiObject:
-        """Create or replace an object under a new version, and a new generation if its content differs."""
+        """Create or replace an object, with a new resource version. Its generation increases if its content changed."""
         old_object = self.objects.get((namespace, name))
         if old_object is None:
             metadata = self._new_metadata(namespace, name, labels or {})
@@ -129,14 +127,14 @@
         }
 
     def delete(self, namespace: str, name: str) -> None:
-        """Delete an object, under a new version."""
+        """Delete an object, and record its deletion with a new resource version."""
         old_object = self.objects.pop((namespace, name))
         self.version += 1
         deleted_object = old_object | {"metadata": old_object["metadata"] | {"resourceVersion": str(self.version)}}
         self._events.append(Event(self.version, EventType.DELETED, deleted_object, namespace))
 
     def compact(self) -> None:
-        """Discard the events so far, as a real server does after some minutes."""
+        """Discard all recorded events, as a real server does after some minutes."""
         self.compacted_version = self.version
         self._events.clear()
 
@@ -150,7 +148,7 @@
         return self._events[len(self._events) - (self.version - version) :]
 
     def select(self, namespace: str, labels: dict[str, str]) -> list[ApiObject]:
-        """Return the matching objects, sorted by namespace and name; an empty namespace stands for all."""
+        """Return the objects that match, sorted by namespace and name. An empty namespace matches all namespaces."""
         return [
             api_object
             for (object_namespace, _), api_object in sorted(self.objects.items())
@@ -158,9 +156,10 @@
         ]
 
     def list_page(self, namespace: str, labels: dict[str, str], limit: int, token: str) -> ApiObject:
-        """Return one page of a list. Its continue token holds the version at which the list began and the last name.
+        """Return one page of a list.
 
-        Raises ApiError for an invalid token and ExpiredError for one whose version has been compacted.
+        The page's continue token holds the resource version at which the list began, and the last name on the page.
+        Raises ApiError if `token` is invalid, and ExpiredError if its version has been compacted.
         """
         version, last_name = self._decode_token(token) if token else (self.version, "")
         items = [
--- a/ryepier/emulator/client_connection.py
+++ b/ryepier/emulator/client_connection.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A response that has been received in full."""
+    """A response that has been received completely."""
 
     status: int
     retry_after_us: int
@@ -29,7 +29,7 @@
     ended: bool
 
     def send(self, connection: ClientConnection) -> None:
-        """Write the request to a connection that has been established for it."""
+        """Write the request to a connection that has been established."""
 
     def on_response(self, response: Response) -> None:
         """Handle the response."""
@@ -67,7 +67,7 @@
         self.target = target
         self.request = request
         self.transport: asyncio.Transport | None = None
-        self.last_attempt: ClientAttempt | None = None  # the last one answered; None while one is in flight
+        self.last_attempt: ClientAttempt | None = None  # the last attempt answered; None during a request
         self._response_count = 0
         self._reset_parser()
 
@@ -90,7 +90,7 @@
             self.request.send(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse a response. Bytes without a request in flight are counted, and the connection is closed."""
+        """Parse a response. If no request is in flight, count the bytes and close the connection."""
         if self.request is None:
             if self.last_attempt is not None:
                 self.last_attempt.trailing_bytes += len(data)
--- a/ryepier/emulator/client_messages.py
+++ b/ryepier/emulator/client_messages.py
@@ -27,18 +27,18 @@
     """Encodes the requests and decodes the responses of a world's clients."""
 
     def __init__(self, world: World, arrivals: Arrivals) -> None:
-        """Prepare for the clients of `world`; the cost hints of their requests come from `arrivals`."""
+        """Encode requests of the clients of `world`, with the cost hints from `arrivals`."""
         self.world = world
         self.arrivals = arrivals
 
     def decode_response(self, data: bytes) -> ResponseBody:
-        """Return the body of a successful response. Raises msgspec.DecodeError."""
+        """Return the body of a successful response. Raises msgspec.DecodeError if it is malformed."""
         if self.world.clients.speak_graphql:
             return msgspec.json.decode(data, type=GraphqlResponseBody).extensions
         return msgspec.json.decode(data, type=ResponseBody)
 
     def encode_request(self, attempt: ClientAttempt, host: bytes, now_us: int) -> bytes:
-        """Return the bytes of a request; its deadline header is the time that remains at `now_us`."""
+        """Return the bytes of a request. Its deadline header holds the time that remains at `now_us`."""
         remaining_ms = max(1, (attempt.sent_us + attempt.deadline_us - now_us) // 1000)
         if self.world.clients.speak_graphql:
             return self._encode_graphql(attempt, host, remaining_ms)
--- a/ryepier/emulator/client_request.py
+++ b/ryepier/emulator/client_request.py
@@ -22,7 +22,7 @@
 
 
 class RequestOwner(Protocol):
-    """The client process that sends the request."""
+    """The parts of a client process that its requests use."""
 
     clock: Clock
     world: World
@@ -45,7 +45,7 @@
     """
 
     def __init__(self, owner: RequestOwner, target: Target, attempt: ClientAttempt, closes_connection: bool) -> None:
-        """Prepare the attempt; `start` sends it."""
+        """Prepare the attempt; `start` sends it. The connection is closed after the response if `closes_connection`."""
         self.owner = owner
         self.target = target
         self.attempt = attempt
@@ -75,12 +75,12 @@
             async with asyncio.timeout(self.attempt.deadline_us / 1e6):
                 await loop.sock_connect(sock, self.target.address)
             await loop.create_connection(lambda: ClientConnection(self.target, self), sock=sock)
-        except OSError:  # TimeoutError included
+        except OSError:  # includes TimeoutError
             sock.close()
             self.end(RequestOutcome.UNREACHABLE)
 
     def send(self, connection: ClientConnection) -> None:
-        """Write the request; the timeout starts when it is written for the first time."""
+        """Write the request. The timeout starts when the request is written for the first time."""
         assert connection.transport is not None
         self._connection = connection
         connection.last_attempt = None
@@ -114,7 +114,7 @@
             self.end(RequestOutcome.FAILED)
 
     def _record_body(self, response: Response) -> None:
-        """Record the ids in the body. If it cannot be decoded, they stay empty, which the judge reports."""
+        """Record the ids in the body. If the body cannot be decoded, the ids stay empty, which the judge reports."""
         try:
             body = self.owner.codec.decode_response(response.body)
         except msgspec.DecodeError:
--- a/ryepier/emulator/client_retries.py
+++ b/ryepier/emulator/client_retries.py
@@ -1,4 +1,4 @@
-"""Retries of emulated clients: whether the protocol allows one, and the backoff before it."""
+"""Retries of emulated clients: whether the protocol allows a retry, and the backoff before it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 MAX_DELAY_US = 10_000_000
 BACKOFF_GROWTH = 2.0
-MIN_JITTER = 0.5  # the factor on the exponential backoff is random, from this up to this plus 1
+MIN_JITTER = 0.5  # exponential backoff is multiplied by a random factor from MIN_JITTER to MIN_JITTER + 1
 NOT_RETRIED_OUTCOMES = (RequestOutcome.SERVED, RequestOutcome.LEFT)
 NEVER_RUN_OUTCOMES = (RequestOutcome.REFUSED, RequestOutcome.UNREACHABLE)
 
@@ -18,7 +18,7 @@
 def may_retry(request_class: RequestClass, outcome: RequestOutcome, first_sent_us: int, now_us: int) -> bool:
     """Return whether the protocol allows a client to send a request again.
 
-    It always does if the request certainly did not run, otherwise only if repeating the request is harmless.
+    A retry is allowed if the request certainly did not run, or if running it again is harmless.
     """
     if outcome in NOT_RETRIED_OUTCOMES:
         return False
--- a/ryepier/emulator/clients.py
+++ b/ryepier/emulator/clients.py
@@ -18,12 +18,12 @@
 from ryepier.emulator.timeline import Timeline
 from ryepier.emulator.world import Effect, World
 
-READ_SLACK_US = 100_000  # clients wait longer than their timeout, so that late responses are recorded
+READ_SLACK_US = 100_000  # clients wait this much longer than their timeout, so that late responses are recorded
 COUNTS_INTERVAL_S = 0.5
 
 
 def _target_addresses(plan: Plan, timeline: Timeline) -> list[Address]:
-    """Return the addresses that clients send to: the plan's targets, else the sidecars, else the converters."""
+    """Return the addresses that clients send to: the plan's targets if set, else the sidecars, else the converters."""
     if plan.targets:
         return plan.targets
     if plan.world.sidecars.count:
@@ -35,7 +35,7 @@
     """The clients of one emulator process."""
 
     def __init__(self, plan: Plan, clock: Clock, timeline: Timeline, simulated: bool = False) -> None:
-        """Sample the arrivals. A simulation has all clients in one process, and no harness that reads counts."""
+        """Sample the arrivals. With `simulated`, this process runs all clients and sends no counts to a harness."""
         self.plan = plan
         self.world: World = plan.world
         self.clock = clock
@@ -58,7 +58,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def start(self) -> None:
-        """Do nothing: clients connect when they send."""
+        """Do nothing, as clients connect when they send a request."""
 
     async def run(self) -> RoleRecords:
         """Send this process's share of the arrivals, wait until the run ends, and return the records."""
@@ -78,7 +78,7 @@
         return self.records
 
     async def _send_counts(self) -> None:
-        """Send the counts of attempts to the harness at intervals, for its live summary."""
+        """Send the counts of attempts to the harness every `COUNTS_INTERVAL_S`, for its live summary."""
         while True:
             await asyncio.sleep(COUNTS_INTERVAL_S)
             send_to_harness({"open": self._open_count, **self._counts})
@@ -115,7 +115,7 @@
         ClientRequest(self, self.targets[attempt.sidecar], attempt, closes_connection).start()
 
     def read_timeout_us(self, attempt: ClientAttempt) -> int:
-        """Return how long the client waits: longer than its timeout, or less if it disconnects early."""
+        """Return how long the client waits: longer than its timeout, or a shorter time if it disconnects early."""
         if self._random.random() < self.world.clients.disconnect_share:
             return int(self.world.classes[attempt.request_class].objective_ms * 1000 * self._random.random())
         return attempt.deadline_us + READ_SLACK_US
--- a/ryepier/emulator/converter_connection.py
+++ b/ryepier/emulator/converter_connection.py
@@ -14,7 +14,7 @@
 from ryepier.emulator.process import Clock
 from ryepier.emulator.records import NEVER, AttemptOutcome, ConnectionRecord, ConverterAttempt
 
-LINGER_ZERO = struct.pack("ii", 1, 0)  # closing the socket sends a reset
+LINGER_ZERO = struct.pack("ii", 1, 0)  # SO_LINGER value with which closing a socket sends a reset
 PROBE_TARGETS = (b"/alive", b"/metrics/load")
 
 
@@ -30,15 +30,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedRequest:
-    """A request that has been received in full."""
+    """A request that has been received completely."""
 
-    headers: dict[bytes, bytes]  # by lower-case name
+    headers: dict[bytes, bytes]  # keys are lower-case names
     body: bytes
     first_byte_us: int
 
 
 class ConnectionOwner(Protocol):
-    """The converter that a connection belongs to."""
+    """The parts of a converter that its connections use."""
 
     clock: Clock
 
@@ -70,13 +70,13 @@
     """One connection to a converter; it carries one request at a time."""
 
     def __init__(self, owner: ConnectionOwner, over_limit: bool) -> None:
-        """Wait for the connection to be established; `over_limit` if the converter must reject requests on it."""
+        """Start without a transport. `over_limit` means that the converter rejects all requests on this connection."""
         self.owner = owner
         self.over_limit = over_limit
         self.transport: asyncio.Transport | None = None
-        self.attempt: ConverterAttempt | None = None  # in flight
+        self.attempt: ConverterAttempt | None = None  # the attempt in flight
         self.last_data_us = 0
-        self.partitioned = False  # a zone partition has dropped a request or response on it
+        self.partitioned = False  # a zone partition dropped a request or response on this connection
         self.record = ConnectionRecord(owner.uid, NEVER)
         self._reset_parser()
 
@@ -165,12 +165,12 @@
             self.transport.write(data)
 
     def close(self) -> None:
-        """Close once everything has been written."""
+        """Close the connection once all pending output has been written."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Close with a reset, as happens at the end of a process."""
+        """Close the connection with a reset, which emulates the end of the process."""
         if self.transport is None or self.transport.is_closing():
             return
         sock: socket.socket = self.transport.get_extra_info("socket")
--- a/ryepier/emulator/converter_model.py
+++ b/ryepier/emulator/converter_model.py
@@ -1,7 +1,7 @@
 """Model of a converter without sockets: cores, queue, warm-up, crash under overload, and deduplication within a pod.
 
-This module is pure: requests and times in, actions out. `next_us` is when `advance` is due next. Work that has been
-accepted continues even if the connection it came on is closed.
+This module is pure: it maps requests and times to actions. `advance` must be called at the time `next_us`. Accepted
+work continues even if the connection that the request arrived on is closed.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 
     token: int
     key: str  # idempotency key; empty = not deduplicated
-    work_us: int  # on a standard core
+    work_us: int  # service time on a standard core
     window_us: int = 0  # how long the pod deduplicates the key
 
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """Execution starts; from here on the request counts as run."""
+    """Execution starts; from now on, the request counts as run."""
 
     token: int
 
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Crashed:
-    """The load exceeded the limit of a converter that is warming up; the converter is down and does not restart."""
+    """A converter that is warming up has crashed because its load exceeded the limit; it does not restart."""
 
 
 Action = Started | Done | Rejected | Crashed
@@ -64,7 +64,7 @@
 
     expires_us: int
     finished: bool = False
-    # repeats that arrived while the first request runs, as (converter, token)
+    # repeats that arrived while the first request was running, as (converter, token)
     waiting_repeats: list[tuple[ConverterModel, int]] = field(default_factory=list)
 
 
@@ -74,7 +74,7 @@
     def __init__(self) -> None:
         """Start without keys."""
         self.entries: dict[str, _CachedKey] = {}
-        # repeats to answer now, as (converter, token): the request that they repeat has finished
+        # repeats whose first request has finished, to be answered now, as (converter, token)
         self.released_repeats: list[tuple[ConverterModel, int]] = []
         self._expiries: deque[tuple[int, str]] = deque()
 
@@ -106,7 +106,7 @@
         random: np.random.Generator,
         started_us: int | None,
     ) -> None:
-        """Start an idle converter; `started_us` of None means that it is warm."""
+        """Start an idle converter. It warms up from `started_us` on; if that is None, it is already warm."""
         self.machine = machine
         self.warm_up = warm_up
         self.reports = reports
@@ -118,15 +118,16 @@
         self.queue: deque[Work] = deque()
         self.running: list[tuple[int, int, Work]] = []  # heap of (done_us, number, work)
         self.started_count = 0
-        self.overhead_us = 0  # work of handshakes and probes, added to the next request that starts
-        self._recent_work: deque[tuple[int, int]] = deque()  # (at_us, work_us) in the overload window, during warm-up
+        self.overhead_us = 0  # work of handshakes and probes; added to the next request that starts
+        # (at_us, work_us) received within the overload window; recorded only during warm-up
+        self._recent_work: deque[tuple[int, int]] = deque()
         self._recent_work_us = 0
         self._hung_since_us = 0
         self._report = ""
         self._report_until_us = -1
 
     def capacity_share(self, now_us: int) -> float:
-        """Return the share of its full capacity that the converter has at this time."""
+        """Return the converter's capacity at `now_us` as a share of its full capacity."""
         warm_up_us = self.warm_up.warm_up_s * 1e6
         if self.started_us is None or now_us >= self.started_us + warm_up_us:
             return 1.0
@@ -134,7 +135,7 @@
         return initial_share + (1.0 - initial_share) * max(0, now_us - self.started_us) / warm_up_us
 
     def on_request(self, now_us: int, work: Work) -> list[Action]:
-        """Handle a request that has been received in full."""
+        """Handle a request that has been received completely."""
         actions = self.advance(now_us)
         if self._record_recent_work(now_us, work.work_us):
             return [*actions, Crashed()]
@@ -164,7 +165,10 @@
         return [Crashed()] if self._record_recent_work(now_us, work_us) else []
 
     def _record_recent_work(self, now_us: int, work_us: int) -> bool:
-        """Add work, also of rejected requests, to the overload window; return whether it crashes the converter."""
+        """Add work to the overload window, and return whether the overload crashes the converter.
+
+        The work of rejected requests counts too.
+        """
         share = self.capacity_share(now_us)
         if self.crashed or share >= 1.0:
             return False
@@ -196,7 +200,7 @@
         return actions
 
     def advance(self, now_us: int) -> list[Action]:
-        """Finish the requests that are done by now, and start queued requests on the cores that become free."""
+        """Finish the requests that are done by `now_us`, and start queued requests on the cores that become free."""
         actions: list[Action] = []
         while self.running and self.running[0][0] <= now_us and not self.hung:
             done_us, _, work = heapq.heappop(self.running)
@@ -206,7 +210,10 @@
         return actions
 
     def _release_repeats(self, work: Work) -> list[Action]:
-        """Answer the repeats that waited at this converter, and add the others to the cache's `released_repeats`."""
+        """Answer the repeats of finished work that wait at this converter.
+
+        The repeats that wait at other converters are added to the cache's `released_repeats`.
+        """
         entry = self.cache.entries.get(work.key) if work.key else None
         if entry is None:
             return []
@@ -220,7 +227,7 @@
 
     @property
     def next_us(self) -> int | None:
-        """The time at which the next request is done; None if no request is running."""
+        """When the next request is done; None if no request is running or the converter hangs."""
         return self.running[0][0] if self.running and not self.hung else None
 
     def hang(self, now_us: int) -> None:
@@ -235,7 +242,7 @@
         return self._start_queued(now_us)
 
     def load_report(self, now_us: int) -> str:
-        """Return the load report in the form `name=value,...`. It is refreshed at randomly sampled intervals."""
+        """Return the load report in the form `name=value,...`. The values are refreshed at random intervals."""
         if now_us >= self._report_until_us:
             low_ms, high_ms = self.reports.refresh_ms
             self._report_until_us = now_us + int(1000 * self.random.uniform(low_ms, high_ms))
@@ -249,7 +256,7 @@
         return self._report
 
     def stop(self) -> list[int]:
-        """End the process: drop all work and remove its keys. Return the tokens of requests that had not started."""
+        """End the process: drop all work and its idempotency keys. Return the tokens of the queued requests."""
         for work in [*(work for _, _, work in self.running), *self.queue]:
             if work.key:
                 self.cache.entries.pop(work.key, None)
--- a/ryepier/emulator/converter_server.py
+++ b/ryepier/emulator/converter_server.py
@@ -1,4 +1,4 @@
-"""One process of an emulated converter on its sockets: drives the model and applies the faults of the schedule."""
+"""One process of an emulated converter on sockets: drives the model and applies the scheduled faults."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 from ryepier.sidecar import system
 
 LISTEN_BACKLOG = 1024
-DEFAULT_WORK_US = b"1000"  # of a request without the X-Work-Us header
+DEFAULT_WORK_US = b"1000"  # value assumed for a request without the X-Work-Us header
 
 
 class ServerOwner(Protocol):
@@ -37,16 +37,16 @@
     plan: Plan
     clock: Clock
     records: RoleRecords
-    backlog_filler_count: int  # connections that fill a listener's backlog, so that no further one is established
+    backlog_filler_count: int  # number of connections that fill a listener's backlog, which blocks new connections
 
     def sidecar_of(self, request_id: bytes) -> int:
         """Return the sidecar that a client sent the request to."""
 
     def record_event(self, text: str) -> None:
-        """Record an event at the present time."""
+        """Record an event at the current time."""
 
     def answer_released_repeats(self, cache: IdempotencyCache) -> None:
-        """Answer the repeats that waited for a request at another converter of their pod."""
+        """Answer the repeats whose first request has finished at another converter of their pod."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,10 +58,10 @@
 
 
 class ConverterServer:
-    """One process of a converter, with at most one fault at a time."""
+    """One process of a converter. It has at most one fault at a time."""
 
     def __init__(self, owner: ServerOwner, instance: Instance, cache: IdempotencyCache) -> None:
-        """Prepare the process; `listen` starts it."""
+        """Prepare the process without opening its socket; `listen` does that. A pod's converters share `cache`."""
         self.owner = owner
         self.clock = owner.clock
         self.instance = instance
@@ -74,7 +74,7 @@
             draws.stream(owner.plan.seed, f"reports {instance.uid}"),
             instance.start_us,
         )
-        self.in_flight: dict[int, _InFlightRequest] = {}  # by token
+        self.in_flight: dict[int, _InFlightRequest] = {}  # requests by token
         self._speaks_graphql = world.clients.speak_graphql
         self._window_us_by_class = {
             request_class.name.encode(): int(request_class.idempotency_window_ms * 1000)
@@ -122,7 +122,7 @@
         return self._faults.affects(FaultKind.RESET_BEFORE, request_id)
 
     async def apply(self, step: Step) -> None:
-        """Carry out one step of the schedule."""
+        """Carry out one step of the fault schedule. After a crash, only a drain or a stop has an effect."""
         if step.action is FaultAction.DRAIN:
             self.model.draining = True
         elif step.action is FaultAction.STOP:
@@ -135,7 +135,7 @@
             await self.end_fault()
 
     def begin_fault(self, step: Step) -> None:
-        """Begin a fault in place of the present one."""
+        """Begin a fault, which replaces the current one."""
         self._unblock()
         self._faults.begin(step)
         if step.fault is FaultKind.HANG:
@@ -148,7 +148,7 @@
             self._block_new_connections()
 
     async def end_fault(self) -> None:
-        """End the present fault; connections that lost data are reset."""
+        """End the current fault, and reset the connections on which it dropped data."""
         ended_fault = self._faults.end()
         self._unblock()
         self.model.slowdown = 1.0
@@ -200,7 +200,7 @@
                 connection.write(encode_response(http.HTTPStatus.BAD_REQUEST, body, ""))
                 return
         attempt = self._record_attempt(request, request_id)
-        connection.end_attempt(AttemptOutcome.CLOSED)  # completes the previous attempt's record if this is pipelined
+        connection.end_attempt(AttemptOutcome.CLOSED)  # if this request is pipelined, completes the previous record
         connection.attempt = attempt
         if self._faults.is_any_of(FaultKind.CUT) or self._partitions(connection):
             return
@@ -252,7 +252,7 @@
         if isinstance(action, Done) and action.executed:
             request.attempt.finished_us = self.clock.now_us()
         if request.connection.attempt is not request.attempt:
-            return  # the connection has ended, or carries another request
+            return  # the connection has ended, or carries a different request
         if isinstance(action, Rejected):
             self._reject(request.connection)
         else:
@@ -273,7 +273,7 @@
     def _reply(
         self, connection: ConverterConnection, status: http.HTTPStatus, body: bytes, not_run: bool = False
     ) -> None:
-        """Answer the connection's request, unless the present fault drops, resets or truncates the response."""
+        """Answer the connection's request, unless the current fault drops, resets or truncates the response."""
         if self._faults.is_unresponsive or self._partitions(connection):
             return
         assert connection.attempt is not None
@@ -311,14 +311,14 @@
             self._listener = None
 
     def _close_sockets(self) -> None:
-        """Reset all connections and refuse new ones, as happens at the end of a process."""
+        """Reset all connections and refuse new ones, which emulates the end of the process."""
         self._close_listener()
         for connection in list(self._connections):
             connection.end_attempt(AttemptOutcome.RESET)
             connection.abort()
 
     def _block_new_connections(self) -> None:
-        """Listen with a full backlog, so that connection attempts get no answer."""
+        """Listen with a full backlog, so that connection attempts receive no answer."""
         self._close_listener()
         address = self.owner.plan.converter_address(self.instance.index)
         self._blocking_sockets = [system.listen(address, 0)]
@@ -334,7 +334,7 @@
         self._blocking_sockets.clear()
 
     def close_idle_connections(self, now_us: int) -> None:
-        """Close the connections that have been idle for too long."""
+        """Close the connections that have been idle for longer than the group's `idle_close_s`."""
         cutoff_us = now_us - int(self.instance.machine.group.idle_close_s * 1e6)
         for connection in list(self._connections):
             if connection.attempt is None and connection.last_data_us < cutoff_us:
--- a/ryepier/emulator/converters.py
+++ b/ryepier/emulator/converters.py
@@ -1,4 +1,4 @@
-"""Emulated converters: many in one process, each on its own address, with a record of every attempt."""
+"""Emulated converters: many in one process, each on its own address. Every attempt is recorded."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ryepier.emulator.records import RecordedEvent, RoleRecords
 from ryepier.emulator.timeline import FaultAction, Instance, TargetKind, Timeline
 
-BACKLOG_FILLER_COUNT = 4  # connections that fill the backlog of a listener, so that no further one is established
+BACKLOG_FILLER_COUNT = 4  # connections that fill the backlog of a listener, which blocks new connections
 IDLE_CHECK_S = 0.25
 
 
@@ -19,7 +19,7 @@
     """The converters of one emulator process; all converters of a pod are in the same process."""
 
     def __init__(self, plan: Plan, clock: Clock, timeline: Timeline, simulated: bool = False) -> None:
-        """Select this process's converters; a simulation has all of them in one process."""
+        """Select the converters of this process by their pod. With `simulated`, this process runs all converters."""
         self.plan = plan
         self.clock = clock
         self.records = RoleRecords(f"converters {plan.index}")
@@ -34,7 +34,7 @@
         self.backlog_filler_count = 0 if simulated else BACKLOG_FILLER_COUNT
         self.servers: dict[int, ConverterServer] = {}  # by the instance's index
         self._caches: dict[int, IdempotencyCache] = {}  # by pod
-        self._sidecar_by_arrival: list[int] = []  # computed at the first use
+        self._sidecar_by_arrival: list[int] = []  # computed on first use
 
     def sidecar_of(self, request_id: bytes) -> int:
         """Return the sidecar that a client sent the request to."""
@@ -43,7 +43,7 @@
         return self._sidecar_by_arrival[int(request_id.split(b"-")[1], 16)]
 
     def record_event(self, text: str) -> None:
-        """Record an event at the present time."""
+        """Record an event at the current time."""
         self.records.events.append(RecordedEvent(self.clock.now_us(), text))
 
     async def start(self) -> None:
@@ -83,7 +83,7 @@
                 server.close_idle_connections(self.clock.now_us())
 
     def answer_released_repeats(self, cache: IdempotencyCache) -> None:
-        """Answer the repeats that waited for a request at another converter of their pod."""
+        """Answer the repeats whose first request has finished at another converter of their pod."""
         while cache.released_repeats:
             model, token = cache.released_repeats.pop()
             for server in self.servers.values():
--- a/ryepier/emulator/discovery.py
+++ b/ryepier/emulator/discovery.py
@@ -1,4 +1,4 @@
-"""Emulates the platform's discovery: an agent for each sidecar, with watches and its own delay of notices."""
+"""Emulates the platform's discovery: each sidecar has an agent, which learns of changes after its own delay."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 CLOSE_GRACE_S = 0.05  # time for the tasks of open watches to end
 GET = "GET"
 HOSTS_PATH = "/discovery/hosts"
-HEARTBEAT = b"1\r\n\n\r\n"  # an empty line, as a chunk
+HEARTBEAT = b"1\r\n\n\r\n"  # an empty line as an HTTP chunk
 Entry = dict[str, Any]  # a converter in the endpoint list, as a JSON object of the discovery protocol
 Listing = dict[str, Any]  # a full list or changes to it, as a JSON object of the discovery protocol
 
 
 def list_entry(plan: Plan, instance: Instance, state: ListState, unix_run_start_ms: int) -> Entry:
-    """Return a converter's entry; `unix_run_start_ms` is the Unix time at which the run began."""
+    """Return a converter's entry in the endpoint list; `unix_run_start_ms` is the Unix time at which the run began."""
     host, port = plan.converter_address(instance.index)
     group = instance.machine.group
     boot_ms = unix_run_start_ms + instance.start_us // 1000 if instance.start_us is not None else 0
@@ -46,16 +46,19 @@
 
 
 class Registry:
-    """The endpoint list that one agent knows, with the revision of each entry's last change. This class is pure."""
+    """The endpoint list of one agent, with the revision of each entry's last change. This class is pure."""
 
     def __init__(self, listing: Listing) -> None:
-        """Start with a full list."""
+        """Start with a full list and its revision."""
         self.rev: int = listing["rev"]
         self.targets: dict[str, Entry] = {entry["uid"]: entry for entry in listing["targets"]}
         self.changed_rev: dict[str, int] = {entry["uid"]: self.rev for entry in listing["targets"]}
 
     def apply_change(self, entry: Entry) -> bool:
-        """Replace an entry, and return whether the list changed. States only advance: a late notice may be outdated."""
+        """Replace an entry, and return whether the list changed.
+
+        A converter's state never returns to an earlier one, so an outdated notice that arrives late has no effect.
+        """
         previous = self.targets.get(entry["uid"])
         if previous is not None and ListState(previous["state"]).rank >= ListState(entry["state"]).rank:
             return False
@@ -65,16 +68,16 @@
         return True
 
     def removed_uids(self) -> list[str]:
-        """Return the converters that are no longer listed."""
+        """Return the uids of the converters that have left the list."""
         return [uid for uid, entry in self.targets.items() if entry["state"] == ListState.LEFT]
 
     def full_list(self) -> Listing:
-        """Return the list with all its entries."""
+        """Return the full list, without the converters that have left."""
         listed = [entry for entry in self.targets.values() if entry["state"] != ListState.LEFT]
         return {"rev": self.rev, "all": True, "targets": listed}
 
     def changes_since(self, rev: int) -> Listing:
-        """Return the changes after a revision, or the full list if the revision is 0 or not one of this agent's."""
+        """Return the changes after a revision, or the full list if the revision is 0 or unknown to this agent."""
         if rev <= 0 or rev > self.rev:
             return self.full_list()
         changed = [entry for uid, entry in self.targets.items() if self.changed_rev[uid] > rev]
@@ -98,10 +101,10 @@
         self.sidecar = sidecar
         self.registry = Registry(listing)
         self._muted = False
-        self._frozen = False  # changes are held back, and the unchanged list is served
-        self._pending_changes: list[Entry] = []  # changes that arrived while it was muted, frozen or down
+        self._frozen = False  # changes are held back, and the list is served without them
+        self._pending_changes: list[Entry] = []  # changes held back while the agent was muted, frozen or down
         self._server: asyncio.Server | None = None
-        self._watches: dict[asyncio.StreamWriter, int] = {}  # with the revision last sent to each
+        self._watches: dict[asyncio.StreamWriter, int] = {}  # the revision last sent on each watch
         self._writers: dict[asyncio.StreamWriter, None] = {}  # in the order in which they were opened
 
     async def listen(self) -> None:
@@ -139,7 +142,7 @@
             self._record_notices(listing)
 
     async def _watch(self, since_rev: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve a watch until the client closes it. Raises ConnectionResetError then."""
+        """Serve a watch until the client closes the connection, then raise ConnectionResetError."""
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")
         self._watches[writer] = since_rev
         self._write_changes(writer)
@@ -147,7 +150,7 @@
         raise ConnectionResetError
 
     def _write_changes(self, writer: asyncio.StreamWriter) -> None:
-        """Write the changes since the last update of a watch."""
+        """Write the changes since the revision last sent on a watch."""
         if self._muted:
             return
         listing = self.registry.changes_since(self._watches[writer])
@@ -157,7 +160,7 @@
         self._record_notices(listing)
 
     def _record_notices(self, listing: Listing) -> None:
-        """Record the states that the sidecar is notified of; a full list implies that missing converters have left."""
+        """Record the states that are sent to the sidecar. A full list implies that missing converters have left."""
         now_us = self.owner.clock.now_us()
         states = {entry["uid"]: entry["state"] for entry in listing["targets"]}
         if listing["all"]:
@@ -173,7 +176,7 @@
                 writer.write(HEARTBEAT)
 
     async def apply(self, step: Step, entry: Entry | None) -> None:
-        """Carry out one step of the schedule; `entry` is the changed converter of a notification."""
+        """Carry out one step of the fault schedule; `entry` is the changed converter if the step is a notification."""
         if step.action is FaultAction.NOTIFY and entry is not None:
             self._notify(entry)
         elif step.action is FaultAction.MUTE:
@@ -216,10 +219,10 @@
 
 
 class DiscoveryRole:
-    """All agents of a run."""
+    """The discovery agents of all sidecars of a run."""
 
     def __init__(self, plan: Plan, clock: Clock, timeline: Timeline) -> None:
-        """Create an agent for each sidecar: a discovery agent of the platform, or an API server with EndpointSlices."""
+        """Create an agent for each sidecar: one of the platform, or an API server with EndpointSlices."""
         self.plan = plan
         self.clock = clock
         self.timeline = timeline
--- a/ryepier/emulator/draws.py
+++ b/ryepier/emulator/draws.py
@@ -1,7 +1,7 @@
 """Random samples of a world, taken before the run: arrivals, classes, work, timeouts, machines and delays.
 
-This module is pure. Each purpose has its own PCG64 stream, so that a change to one (a further fault, another
-sidecar) leaves the samples of the others unchanged. Times are microseconds since the run began.
+This module is pure. Each purpose has its own PCG64 stream, so that a change to one, such as an added
+fault or sidecar, leaves the samples of the others unchanged. Times are microseconds since the run began.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 IntArray = NDArray[np.int64]
 FloatArray = NDArray[np.float64]
 
-RATE_STEP_US = 10_000  # the arrival rate is constant within a step
+RATE_STEP_US = 10_000  # the arrival rate is constant within a step of this duration
 
 
 def stream(seed: int, purpose: str) -> np.random.Generator:
-    """Return the random number generator for one purpose, which depends on the seed and the purpose's name."""
+    """Return a random number generator that depends only on the seed and the purpose."""
     return np.random.Generator(np.random.PCG64([seed, zlib.crc32(purpose.encode())]))
 
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """The sampled properties of a converter; its replacements in a release share them."""
+    """The sampled properties of a converter. The processes that replace it in a release have the same ones."""
 
     index: int
     group: Converters
@@ -43,7 +43,7 @@
     sidecar: IntArray
     request_class: IntArray
     tenant: IntArray
-    work_us: IntArray  # on a standard core
+    work_us: IntArray  # service time on a standard core
     hint_us: IntArray  # cost hint; 0 = none
     timeout_share: FloatArray  # timeout of the first attempt, as a share of the class's deadline
 
@@ -66,7 +66,7 @@
 
 
 def select_targets(count: int, fault: Fault, random: np.random.Generator) -> list[int]:
-    """Return the indexes of the targets that a fault affects: its `index`, or a random sample of at least one."""
+    """Return the indexes of the targets that a fault affects: its `index` if set, else a random sample of them."""
     if fault.index is not None:
         return [fault.index % count]
     size = max(1, round(fault.target_share * count))
@@ -88,7 +88,7 @@
 
 
 def offered_per_s(world: World, at_us: IntArray) -> FloatArray:
-    """Return the arrival rate at each time, without surges of single tenants and without hot sidecars."""
+    """Return the arrival rate over all tenants and sidecars at each time, without surges of single tenants."""
     clients = world.clients
     rate_increase = (clients.ramp_to_per_s - clients.rate_per_s) if clients.ramp_to_per_s else 0.0
     rate: FloatArray = (clients.rate_per_s + rate_increase * at_us / (world.duration_s * 1e6)).astype(np.float64)
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _TenantArrivals:
-    """Arrival times in order, with the tenant of each."""
+    """Sorted arrival times, with the tenant of each arrival."""
 
     at_us: IntArray
     tenant: IntArray
@@ -106,15 +106,15 @@
 def _sample_times(world: World, seed: int) -> _TenantArrivals:
     """Sample the arrival process: an inhomogeneous Poisson process for each tenant."""
     random = stream(seed, "arrivals")
-    steps_us = np.arange(0, int(world.duration_s * 1e6), RATE_STEP_US, dtype=np.int64)
+    step_starts_us = np.arange(0, int(world.duration_s * 1e6), RATE_STEP_US, dtype=np.int64)
     times_by_tenant, tenant_columns = [], []
     for index, tenant in enumerate(world.tenants):
-        rate = offered_per_s(world, steps_us) * tenant.share
+        rate = offered_per_s(world, step_starts_us) * tenant.share
         for fault in world.faults:
             if fault.kind is FaultKind.TENANT_SURGE and fault.tenant == tenant.name:
-                rate[_is_during(fault, steps_us)] *= fault.factor
+                rate[_is_during(fault, step_starts_us)] *= fault.factor
         counts = random.poisson(rate * RATE_STEP_US / 1e6)
-        tenant_times_us = np.repeat(steps_us, counts) + random.integers(0, RATE_STEP_US, int(counts.sum()))
+        tenant_times_us = np.repeat(step_starts_us, counts) + random.integers(0, RATE_STEP_US, int(counts.sum()))
         times_by_tenant.append(tenant_times_us)
         tenant_columns.append(np.full(len(tenant_times_us), index, dtype=np.int64))
     at_us, tenant_indexes = np.concatenate(times_by_tenant), np.concatenate(tenant_columns)
@@ -154,8 +154,8 @@
         if fault.kind is FaultKind.HEAVY_TAIL:
             is_heavy = _is_during(fault, at_us) & (tail_random.random(count) < fault.share)
             work_us[is_heavy & (class_indexes == _class_index(world, fault.request_class))] *= fault.factor
-    relative_error = 1.0 + world.clients.hint_error * (2.0 * random.random(count) - 1.0)
-    hint_us = (work_us * relative_error if world.clients.hints else np.zeros(count)).astype(np.int64)
+    error_factor = 1.0 + world.clients.hint_error * (2.0 * random.random(count) - 1.0)
+    hint_us = (work_us * error_factor if world.clients.hints else np.zeros(count)).astype(np.int64)
     return Arrivals(
         at_us,
         _sample_sidecars(world, seed, at_us),
--- a/ryepier/emulator/files.py
+++ b/ryepier/emulator/files.py
@@ -1,4 +1,4 @@
-"""Files that a world's sidecars and planners are started with: the platform's configuration and operators' settings."""
+"""The files that configure a world's sidecars and planners: platform configurations and operators' settings."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from ryepier.emulator.world import RequestClass, World
 
 GRANULARITY_US = 1000
-OVER_SHARE_WEIGHT = 0.2  # priority weight of a tenant's requests beyond its share
+OVER_SHARE_WEIGHT = 0.2  # priority weight of the requests of a tenant that exceed its share
 MAX_POLL_INTERVAL_US = 2_500_000
 LOG_LINES_PER_S = 200
 
@@ -62,7 +62,7 @@
 
 
 def sidecar_settings(world: World, index: int) -> dict[str, Any]:
-    """Return one sidecar's settings, with the keys of the platform's configuration."""
+    """Return the settings of one sidecar, under the keys of the platform's configuration."""
     accounts = [
         {"name": tenant.name, "share": tenant.share, "allowance-per-s": tenant.share * world.clients.rate_per_s}
         for tenant in world.tenants
@@ -92,7 +92,7 @@
 
 
 def platform_configurations(plan: Plan, timeline: Timeline) -> list[str]:
-    """Return the platform's configuration of each sidecar as JSON."""
+    """Return the platform's configuration for each sidecar as JSON."""
     world, listing = plan.world, discovery.initial_list(plan, timeline)
     limits = {"cores": 1.0, "memory_mb": world.sidecars.memory_mb, "sockets": world.sidecars.sockets}
     return [
@@ -147,7 +147,7 @@
 
 
 def settings_environment(plan: Plan, sidecar: int) -> dict[str, str]:
-    """Return the environment variables for the settings that differ between sidecars."""
+    """Return the environment variables that set a sidecar's own settings, which differ between sidecars."""
     if not plan.world.discovery.slice_size:
         return {}
     return {"RYEPIER_SLICES__SERVER": f"http://{_format_address(plan.discovery_address(sidecar))}"}
--- a/ryepier/emulator/graphql.py
+++ b/ryepier/emulator/graphql.py
@@ -1,7 +1,7 @@
 """GraphQL messages of the emulator: the clients' documents, in equivalent forms, and the id that converters read.
 
-Each request class of a world is a field of the schema. A converter identifies an operation by the variable `id`,
-regardless of the headers.
+Each request class of a world is a field of the schema. Converters identify an operation only by its variable `id`,
+not by headers.
 """
 
 from __future__ import annotations
@@ -13,13 +13,15 @@
 from ryepier.emulator.world import Effect, RequestClass, World
 
 PATH = "/graphql"
-GET_EVERY = 3  # one of this many queries is sent as a GET
-ESCAPED_EVERY = 7  # in one of this many mutations, JSON escapes a letter of the keyword, which does not change the text
+GET_EVERY = 3  # queries whose number is a multiple of this are sent with GET
+# in mutations whose number is a multiple of this, a letter of the keyword is written as a JSON escape sequence,
+# which does not change the decoded text
+ESCAPED_EVERY = 7
 
 
 @dataclass(frozen=True, slots=True)
 class Document:
-    """A document and the operationName to send with it, if any."""
+    """A GraphQL document, and the operationName to send with it, if any."""
 
     text: str
     operation_name: str | None
@@ -35,7 +37,7 @@
 
 
 def field_name(class_name: str) -> str:
-    """Return the schema's field for a request class: convertFile for convert-file."""
+    """Return the name of a request class's field in the schema, such as convertFile for convert-file."""
     first_word, *other_words = class_name.split("-")
     return first_word + "".join(word.capitalize() for word in other_words)
 
@@ -62,7 +64,7 @@
 
 
 def make_request(request_class: RequestClass, number: int, request_id: str, key: str, unique: bool) -> GraphqlRequest:
-    """Return a request; `number` selects the document's form, and `unique` makes its text differ from all others."""
+    """Return a request. `number` selects the document's form; with `unique`, its text differs from all others."""
     equivalent_documents = documents(request_class)
     document = equivalent_documents[number % len(equivalent_documents)]
     text = document.text + (f" # {request_id}" if unique else "")
--- a/ryepier/emulator/harness.py
+++ b/ryepier/emulator/harness.py
@@ -1,4 +1,4 @@
-"""Runs a world on real sockets: starts the emulator's processes, sidecars and planners, and collects the records."""
+"""Runs a world on real sockets: starts emulator processes, sidecars and planners, and collects their records."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 ROLE_MODULE = "ryepier.emulator.role"
 SETTINGS_FILE = "operators.toml"  # the settings that the sidecars share
 MAX_SIDECARS = 200
-BEGIN_DELAY_S = 0.5  # from announcing the beginning of the run to the beginning itself
+BEGIN_DELAY_S = 0.5  # the run begins this long after its beginning is announced
 
 ProgressCallback = Callable[[float, Counter[str]], None]
-"""Called with the seconds since the beginning of the run and the clients' counts so far."""
+"""Called with the time since the beginning of the run, in seconds, and the clients' counts so far."""
 
 
 @dataclass(slots=True)
@@ -46,18 +46,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RoleAssignment:
-    """The processes that take part in a run, and how they are started; by default all that the world describes."""
+    """The processes that take part in a run, and their commands. By default, all of the world's processes take part."""
 
-    # None: the sidecar or the forwarder, whichever the world needs; empty: only write the configurations, because
-    # another program starts the sidecars
+    # None: the command of the sidecar or the forwarder, depending on the world; empty: no sidecars are started, only
+    # their configurations are written, because another program starts them
     sidecar_command: Sequence[str] | None = None
-    sidecar_overrides: Mapping[int, Sequence[str]] = field(default_factory=dict)  # commands of single sidecars
+    # commands of single sidecars, by index
+    sidecar_overrides: Mapping[int, Sequence[str]] = field(default_factory=dict)
     planner_command: Sequence[str] = PLANNER_COMMAND
-    planner_restart_command: Sequence[str] = PLANNER_COMMAND  # restarts a planner that was killed
-    clients: bool = True
-    converters_and_discovery: bool = True
+    planner_restart_command: Sequence[str] = PLANNER_COMMAND  # used when a killed planner is restarted
+    clients: bool = True  # whether the harness starts clients
+    converters_and_discovery: bool = True  # whether the harness starts converters and discovery
     targets: Sequence[Address] = ()  # addresses that clients send to instead of the world's sidecars
-    role_module: str = ROLE_MODULE  # the program of the emulator's own processes
+    role_module: str = ROLE_MODULE  # the module that the emulator's own processes run
 
 
 def _check_supported(world: World) -> None:
@@ -95,7 +96,7 @@
             self.plan, folder, self.roles.planner_command, self.roles.planner_restart_command
         )
         self._processes: list[RoleProcess] = []
-        self._counts_by_process: dict[str, Counter[str]] = {}  # by process
+        self._counts_by_process: dict[str, Counter[str]] = {}  # the clients' counts
 
     def _make_sidecars(self) -> SidecarProcesses:
         has_settings = files.has_settings_file(self.world)
@@ -107,9 +108,9 @@
         return SidecarProcesses(self.plan, (*command, *arguments) if command else (), overrides)
 
     async def run(self) -> History:
-        """Run the world; no process outlives the call. Raises HarnessError if the emulator failed."""
+        """Run the world, and end all processes before returning. Raises HarnessError if the emulator failed."""
         self.folder.mkdir(parents=True, exist_ok=True)
-        for old_log in self.folder.glob("*.log"):  # of an earlier run
+        for old_log in self.folder.glob("*.log"):  # logs of an earlier run
             old_log.unlink()
         try:
             await self._start()
@@ -131,7 +132,7 @@
         await self.sidecars.start_all()
 
     def _roles_to_start(self) -> list[tuple[str, int]]:
-        """Return the role and index of each process of the emulator."""
+        """Return the role and index of each emulator process to start."""
         settings, roles = self.world.harness, list[tuple[str, int]]()
         if self.roles.converters_and_discovery:
             roles += [("discovery", 0)] if self.world.sidecars.count else []
@@ -155,7 +156,7 @@
         path = self.folder / f"{role}-{index}.json"
         path.write_bytes(msgspec.json.encode(plan))
         records_path = self.folder / f"{role}-{index}.records"
-        records_path.unlink(missing_ok=True)  # of an earlier run
+        records_path.unlink(missing_ok=True)  # delete the records of an earlier run
         process = await asyncio.create_subprocess_exec(
             *PYTHON_COMMAND,
             self.roles.role_module,
@@ -202,7 +203,7 @@
                 self.on_progress(self.clock.now_us() / 1e6, sum(self._counts_by_process.values(), Counter()))
 
     async def run_schedule(self) -> None:
-        """Carry out the steps on sidecars and planners; restarts of sidecars take place in parallel."""
+        """Carry out the scheduled steps on sidecars and planners. Sidecars are restarted in parallel."""
         async with asyncio.TaskGroup() as restart_tasks:
             for step in self.timeline.steps:
                 if step.target not in (TargetKind.SIDECAR, TargetKind.PLANNER):
--- a/ryepier/emulator/loopback.py
+++ b/ryepier/emulator/loopback.py
@@ -1,4 +1,4 @@
-"""Selection of a loopback network for a run, so that several runs on one machine do not share addresses."""
+"""Selects a loopback network for a run, so that concurrent runs on one machine do not share addresses."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from ryepier.emulator.errors import HarnessError
 from ryepier.emulator.process import CONVERTER_PORT
 
-MIN_NETWORK, MAX_NETWORK = 16, 250  # second octet of 127.network.x.y
+MIN_NETWORK, MAX_NETWORK = 16, 250  # range of `network`, the second octet of the addresses 127.network.x.y
 
 
 def find_network() -> int:
-    """Return a loopback network that no other run on this machine uses. Raises HarnessError."""
+    """Return a loopback network that no other run on this machine uses. Raises HarnessError if there is none."""
     network_count = MAX_NETWORK - MIN_NETWORK + 1
     for offset in range(network_count):
         network = MIN_NETWORK + (os.getpid() + offset) % network_count
--- a/ryepier/emulator/planner_processes.py
+++ b/ryepier/emulator/planner_processes.py
@@ -17,7 +17,7 @@
     """All planners of a run."""
 
     def __init__(self, plan: Plan, folder: Path, command: Sequence[str], restart_command: Sequence[str]) -> None:
-        """Prepare without starting any. `command` starts a planner, `restart_command` starts it again after a kill."""
+        """Prepare the planners without starting them. `restart_command` starts a planner again after a kill."""
         self.plan = plan
         self.folder = folder
         self.command = command
@@ -25,7 +25,7 @@
         self._processes: list[subprocess.Popen[bytes]] = []
 
     def start_all(self) -> None:
-        """Write the planners' settings and start them, without snapshots of earlier runs."""
+        """Delete the snapshots of earlier runs, write the planners' settings, and start the planners."""
         settings = self.plan.world.planners
         for index in range(settings.count):
             snapshots_folder = self.folder / f"planner-{index}"
@@ -44,7 +44,7 @@
             return subprocess.Popen(arguments, stdout=log, stderr=log)
 
     def apply(self, step: Step) -> None:
-        """Carry out one step of the schedule."""
+        """Carry out one step of the fault schedule."""
         process = self._processes[step.index]
         if step.action is FaultAction.KILL:
             process.kill()
--- a/ryepier/emulator/process.py
+++ b/ryepier/emulator/process.py
@@ -16,17 +16,17 @@
 
 Address = tuple[str, int]
 
-MAX_LATENESS_US = 60_000_000  # upper limit of the histogram
+MAX_LATENESS_US = 60_000_000  # largest value in the histogram
 LATENESS_DIGITS = 3  # significant digits of the histogram
 LATENESS_TICK_S = 0.02
-CPU_WAIT_THRESHOLD_US = 50_000  # shorter waits are not recorded, as each time limit of the judge has this slack
+CPU_WAIT_THRESHOLD_US = 50_000  # shorter waits are not recorded; the judge's time limits have this much slack
 CONVERTER_PORT = 9000
 DISCOVERY_PORT = 8500
 SIDECAR_PORT = 9000
 PLANNER_PORT = 7400
 HOSTS_PER_SUBNET = 250
-DISCOVERY_SUBNET, SIDECAR_SUBNET, PLANNER_SUBNET = 252, 253, 254  # third octets; converters have lower ones
-LATE_RESPONSE_MARGIN_S = 1.0  # from the last deadline to the end of the run, for late responses
+DISCOVERY_SUBNET, SIDECAR_SUBNET, PLANNER_SUBNET = 252, 253, 254  # third octets; converters use lower ones
+LATE_RESPONSE_MARGIN_S = 1.0  # the run continues this long after the last deadline, to record late responses
 
 
 class Plan(msgspec.Struct, frozen=True):
@@ -36,7 +36,7 @@
     seed: int
     network: int  # second octet of the run's addresses, 127.network.x.y
     role: str
-    index: int = 0  # among the processes of its role
+    index: int = 0  # position among the processes of the same role
     targets: list[Address] = []  # addresses that clients send to instead of the run's own sidecars
 
     @property
@@ -71,10 +71,10 @@
 
 
 class Clock:
-    """The time in microseconds since the run began, which is at `run_start_us` on the machine's monotonic clock."""
+    """Measures the time since the run began, at `run_start_us` on the machine's monotonic clock, in microseconds."""
 
     def __init__(self) -> None:
-        """Start with the machine's monotonic time, until `run_start_us` is set."""
+        """Start without an offset: the clock shows the machine's monotonic time until `run_start_us` is set."""
         self.run_start_us = 0
 
     def now_us(self) -> int:
@@ -82,17 +82,17 @@
         return monotonic_us() - self.run_start_us
 
     def handle_at(self, at_us: int, callback: Callable[..., None], *args: object) -> asyncio.TimerHandle:
-        """Schedule a callback at a time of the run, or at once if the time is in the past."""
+        """Schedule a callback for a time since the run began, or immediately if that time has passed."""
         loop = asyncio.get_running_loop()
         return loop.call_at((self.run_start_us + at_us) / 1e6, callback, *args)
 
     async def sleep_until(self, at_us: int) -> None:
-        """Wait until a time of the run."""
+        """Wait until a time since the run began."""
         await asyncio.sleep(max(0.0, (at_us - self.now_us()) / 1e6))
 
 
 class LatenessMeter:
-    """Measures how late a process carries out its schedule; a run in which the emulator was too late is not valid."""
+    """Measures how late a process carries out its schedule. A run is invalid if the emulator was too late."""
 
     def __init__(self, clock: Clock) -> None:
         """Start without measurements."""
@@ -110,7 +110,7 @@
         self._histogram.record_value(min(lateness_us, MAX_LATENESS_US))
 
     async def measure_event_loop(self) -> None:
-        """Measure the lateness of the event loop until cancelled."""
+        """Measure the delay of the event loop every `LATENESS_TICK_S` until cancelled."""
         while True:
             planned_us = self.clock.now_us() + int(LATENESS_TICK_S * 1e6)
             await asyncio.sleep(LATENESS_TICK_S)
--- a/ryepier/emulator/process_usage.py
+++ b/ryepier/emulator/process_usage.py
@@ -1,4 +1,4 @@
-"""Resource usage of a process, as Linux counts it under /proc."""
+"""Resource usage of a process, as Linux reports it under /proc."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessUsage:
-    """CPU time since the process started, and its resident memory."""
+    """A process's CPU time since its start, and its resident memory."""
 
     cpu_us: int
     resident_kib: int
@@ -32,7 +32,10 @@
 
 
 def read_cpu_wait_us(pid: int) -> int | None:
-    """Return how long a process has been runnable without a core; None if it has ended or Linux does not count it."""
+    """Return how long a process has waited for a core while runnable.
+
+    Returns None if the process has ended or Linux does not record the wait.
+    """
     try:
         return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) // NS_PER_US
     except (OSError, IndexError):
--- a/ryepier/emulator/records.py
+++ b/ryepier/emulator/records.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-NEVER = -1  # instead of a time: it has not happened
+NEVER = -1  # the time of an event that has not happened
 
 
 class RequestOutcome(enum.StrEnum):
@@ -26,16 +26,16 @@
 
 
 class AttemptOutcome(enum.StrEnum):
-    """How a converter's handling of an attempt ended."""
+    """How an attempt ended at the converter."""
 
     ANSWERED = "answered"
-    CLOSED = "closed"  # by the sender
-    RESET = "reset"  # by the converter
+    CLOSED = "closed"  # the sender closed the connection
+    RESET = "reset"  # the converter closed the connection before the response was complete
     OPEN = "open"  # still in flight at the end of the run
 
 
 class ClientAttempt(msgspec.Struct, array_like=True):
-    """One request as a client sent it. Attempts with the same `arrival` are retries of one another."""
+    """One request that a client sent. Attempts with the same `arrival` are a first attempt and its retries."""
 
     arrival: int  # index of the arrival that it belongs to
     number: int  # 0 = the first attempt, 1 = its first retry, ...
@@ -45,21 +45,21 @@
     tenant: int
     sidecar: int
     work_us: int
-    planned_us: int  # when the load schedule sends it
+    planned_us: int  # when the first attempt was due according to the load schedule
     sent_us: int
     deadline_us: int  # how long the client waits, from sent_us
     ended_us: int  # when the response's last byte was received or the client stopped waiting
     outcome: RequestOutcome
-    status: int = 0  # of the response; 0 = none
+    status: int = 0  # HTTP status of the response; 0 = no response
     retry_after_us: int = 0
-    response_request_id: str = ""  # the request that the response's body names
-    responder_uid: str = ""  # the converter that the response's body names
-    trailing_bytes: int = 0  # received after the response, without a further request
-    may_be_unread: bool = False  # its reused connection ended, perhaps before the request arrived
+    response_request_id: str = ""  # the request id in the response's body
+    responder_uid: str = ""  # the converter's uid in the response's body
+    trailing_bytes: int = 0  # bytes received after the response, before any further request was sent
+    may_be_unread: bool = False  # a reused connection ended, perhaps before the converter had read the request
 
 
 class ConverterAttempt(msgspec.Struct, array_like=True):
-    """One request as a converter received it in full."""
+    """One request that a converter received completely."""
 
     request_id: str
     key: str
@@ -67,7 +67,7 @@
     pod: int
     first_byte_us: int
     received_us: int  # when the last byte was received
-    ended_us: int = NEVER  # response sent, or connection ended
+    ended_us: int = NEVER  # when the response was sent or the connection ended
     outcome: AttemptOutcome = AttemptOutcome.OPEN
     status: int = 0
     not_run: bool = False
@@ -85,7 +85,7 @@
 
 
 class EndpointNotice(msgspec.Struct, array_like=True):
-    """A converter's state as written to a sidecar's watch."""
+    """A converter's state that was sent to a sidecar."""
 
     sidecar: int
     uid: str
@@ -99,15 +99,15 @@
     sidecar: int
     started_us: int
     ready_us: int  # when /up first answered 200
-    ended_us: int = NEVER  # killed or stopped
+    ended_us: int = NEVER  # when the process was killed or stopped, or ended by itself
     killed: bool = False
-    crashed: bool = False  # ended by itself, or with a failure
+    crashed: bool = False  # the process ended by itself, or did not stop with exit status 0
     samples: list[tuple[int, int, int]] = []  # (at_us, CPU microseconds since the start, resident KiB)
     suspensions: list[tuple[int, int]] = []  # (begin_us, end_us) of each suspension
-    cpu_waits: list[tuple[int, int]] = []  # (begin_us, end_us) of each long wait for a core
+    cpu_waits: list[tuple[int, int]] = []  # (begin_us, end_us) of each long wait for a core while runnable
 
     def end_suspension(self, at_us: int) -> None:
-        """Set the end of a suspension that is still open."""
+        """Set the end of the current suspension, if there is one."""
         self.suspensions = [(begin_us, at_us if end_us == NEVER else end_us) for begin_us, end_us in self.suspensions]
 
     def relative_to(self, origin_us: int) -> Incarnation:
@@ -123,7 +123,7 @@
         )
 
     def was_suspended(self, begin_us: int, end_us: int) -> bool:
-        """Return whether it was suspended at any time between `begin_us` and `end_us`."""
+        """Return whether the process was suspended at any time between `begin_us` and `end_us`."""
         return any(suspended_us < end_us and resumed_us > begin_us for suspended_us, resumed_us in self.suspensions)
 
 
@@ -132,7 +132,7 @@
 
 
 class RecordedEvent(msgspec.Struct, array_like=True):
-    """A step of the fault schedule that was carried out, or a consequence of a step, as text."""
+    """The text of an event: a step of the fault schedule that was carried out, or a consequence of such a step."""
 
     at_us: int
     text: str
@@ -159,7 +159,7 @@
     connections: list[ConnectionRecord] = []
     notices: list[EndpointNotice] = msgspec.field(name="told", default_factory=list)
     events: list[RecordedEvent] = msgspec.field(name="happenings", default_factory=list)
-    # (at_us, uid) of converters that crashed under overload
+    # (at_us, uid) of each converter that crashed under overload
     overload_crashes: list[tuple[int, str]] = msgspec.field(name="fallen", default_factory=list)
     lateness: Lateness | None = None
 
@@ -174,11 +174,11 @@
     events: list[RecordedEvent] = msgspec.field(name="happenings")
     overload_crashes: list[tuple[int, str]] = msgspec.field(name="fallen")
     lateness: list[Lateness]
-    connections: list[ConnectionRecord] = []  # to converters, sorted by opened_us
+    connections: list[ConnectionRecord] = []  # connections to converters, sorted by opened_us
 
 
 def join(records: list[RoleRecords], incarnations: list[Incarnation], events: list[RecordedEvent]) -> History:
-    """Merge the records of a run's processes into one history, each kind sorted by time."""
+    """Merge the records of a run's processes into one history, with the records of each kind sorted by time."""
     return History(
         client_attempts=sorted(
             (attempt for role_records in records for attempt in role_records.client_attempts),
--- a/ryepier/emulator/role.py
+++ b/ryepier/emulator/role.py
@@ -47,9 +47,9 @@
     send_to_harness({"ready": True})
     line = await asyncio.get_running_loop().run_in_executor(None, sys.stdin.readline)
     if not line:
-        return  # the harness has ended
+        return  # the harness process has ended
     clock.run_start_us = int(line)
-    gc.freeze()  # a collection over the sampled arrivals would delay the process
+    gc.freeze()  # garbage collection of the sampled arrivals would delay the process
     lateness_task = asyncio.create_task(role.meter.measure_event_loop())
     records = await role.run()
     lateness_task.cancel()
@@ -58,7 +58,7 @@
 
 
 def main() -> None:
-    """Run the role whose plan and records file the command line names."""
+    """Run the role with the plan and records file given on the command line."""
     plan_path, records_path = sys.argv[1:]
     plan = msgspec.json.decode(Path(plan_path).read_bytes(), type=Plan)
     asyncio.run(run_role(plan, records_path))
--- a/ryepier/emulator/sidecar_processes.py
+++ b/ryepier/emulator/sidecar_processes.py
@@ -18,19 +18,19 @@
 from ryepier.emulator.timeline import FaultAction
 
 READY_TIMEOUT_S = 20.0
-READY_POLL_S = 0.01  # with up to `MAX_CONCURRENT_STARTS` sidecars; grows in proportion to further ones
+READY_POLL_S = 0.01  # with more than `MAX_CONCURRENT_STARTS` sidecars, grows in proportion to their number
 MAX_CONCURRENT_STARTS = 24
-RESTARTS_PER_CORE = 0.5  # concurrent restarts during a run; limited so that the emulator keeps its schedule
+RESTARTS_PER_CORE = 0.5  # limit of concurrent restarts during a run, so that the emulator keeps its schedule
 USAGE_SAMPLE_S = 0.5
 CPU_WAIT_SAMPLE_S = 0.05
-MAX_SIDECARS_FOR_CPU_WAITS = 20  # with more sidecars, reading their waits for a core would load the harness
+MAX_SIDECARS_FOR_CPU_WAITS = 20  # with more sidecars, reading their waits for a core would slow down the harness
 STOP_TIMEOUT_S = 6.0
 STOP_POLL_S = 0.02
 
 
 @dataclass(slots=True)
 class SidecarProcess:
-    """One sidecar, its present process, and the records of all its processes."""
+    """One sidecar, its current process, and the records of all its processes."""
 
     index: int
     config_path: Path
@@ -45,7 +45,7 @@
 
 
 def record_cpu_wait(incarnation: Incarnation, waited_us: int, now_us: int) -> None:
-    """Record a wait for a core that is long enough to have delayed the sidecar's responses."""
+    """Record a wait for a core if it is long enough to delay responses: at least `CPU_WAIT_THRESHOLD_US`."""
     if waited_us >= CPU_WAIT_THRESHOLD_US:
         incarnation.cpu_waits.append((now_us - waited_us, now_us))
 
@@ -54,7 +54,7 @@
     """All sidecars of a run. Times are on the machine's clock until `incarnations` converts them."""
 
     def __init__(self, plan: Plan, command: Sequence[str], overrides: Mapping[int, Sequence[str]]) -> None:
-        """Prepare the sidecars. `overrides` are the commands of single sidecars; an empty `command` starts none."""
+        """Prepare the processes. `overrides` replaces `command` for single sidecars; an empty `command` starts none."""
         self.plan = plan
         self.command = command
         self.overrides = overrides
@@ -72,7 +72,7 @@
     # Start
 
     async def start_all(self) -> None:
-        """Start all sidecars, and wait until they are ready. Raises HarnessError."""
+        """Start all sidecars, and wait until they are ready. Raises HarnessError if one does not become ready."""
         if not self.command:
             return
         slots = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
@@ -94,7 +94,7 @@
         sidecar.incarnations.append(Incarnation(sidecar.index, monotonic_us(), NEVER))
 
     async def _wait_until_ready(self, sidecar: SidecarProcess) -> None:
-        """Poll a sidecar until it is ready, or is killed by a fault. Raises HarnessError."""
+        """Poll a sidecar until it is ready or a fault kills it. Raises HarnessError if it ends or times out."""
         incarnation = sidecar.incarnations[-1]
         poll_interval_s = READY_POLL_S * max(1.0, len(self.sidecars) / MAX_CONCURRENT_STARTS)
         end_us = monotonic_us() + int(READY_TIMEOUT_S * 1e6)
@@ -124,13 +124,13 @@
     # Faults
 
     def apply(self, index: int, action: FaultAction, restart_tasks: asyncio.TaskGroup) -> None:
-        """Carry out one step of the schedule; a restart runs as a task of `restart_tasks`."""
+        """Carry out one step of the fault schedule; a restart runs as a task of `restart_tasks`."""
         if not self.command:
             return
         sidecar = self.sidecars[index]
         is_down = bool(sidecar.incarnations) and sidecar.incarnations[-1].killed
         if sidecar.process is None or (action is FaultAction.RESTART) is not is_down:
-            return  # two faults overlap: the sidecar is already down, or already up again
+            return  # two faults overlap, and the sidecar is already down or already running again
         incarnation = sidecar.incarnations[-1]
         if action is FaultAction.KILL:
             self._kill(sidecar, sidecar.process)
@@ -154,7 +154,7 @@
     # Usage
 
     async def sample_usage(self) -> None:
-        """Record each sidecar's usage at intervals until cancelled."""
+        """Record each sidecar's resource usage every `USAGE_SAMPLE_S` until cancelled."""
         while True:
             await asyncio.sleep(USAGE_SAMPLE_S)
             for sidecar in self.sidecars:
@@ -173,7 +173,10 @@
             incarnation.samples.append((monotonic_us(), usage.cpu_us, usage.resident_kib))
 
     async def watch_cpu_waits(self) -> None:
-        """Record long waits of sidecars for a core until cancelled; return at once if there are many sidecars."""
+        """Record sidecars' long waits for a core until cancelled.
+
+        Returns immediately if there are more than `MAX_SIDECARS_FOR_CPU_WAITS` sidecars.
+        """
         waited_us_by_pid: dict[int, int] = {}
         while len(self.sidecars) <= MAX_SIDECARS_FOR_CPU_WAITS:
             for sidecar in self.sidecars:
@@ -190,7 +193,7 @@
     # Stop
 
     async def stop_all(self) -> None:
-        """Send SIGTERM to all sidecars, and record whether they ended without a failure."""
+        """Send SIGTERM to all sidecars, and record whether each ended with exit status 0."""
         for sidecar in self.sidecars:
             self._take_sample(sidecar)
             if sidecar.process is not None and sidecar.is_running:
--- a/ryepier/emulator/simulated.py
+++ b/ryepier/emulator/simulated.py
@@ -27,7 +27,7 @@
 from ryepier.sidecar.components import PLATFORM_COMPONENTS
 from ryepier.sim.run import SimLoop, simulate
 
-NETWORK = 16
+NETWORK = 16  # second octet of the simulated addresses 127.network.x.y
 STARTUP_S = 0.2  # time for the sidecars to become ready
 
 
@@ -96,7 +96,7 @@
     async def _run(
         self, roles: Sequence[Role], processes: Mapping[TargetKind, Sequence[SimulatedProcess]]
     ) -> list[RoleRecords]:
-        """Carry out the schedule to the end of the run, and return the roles' records."""
+        """Carry out the fault schedule until the run ends, and return the roles' records."""
         lateness_tasks = [asyncio.create_task(role.meter.measure_event_loop()) for role in roles]
         schedule = asyncio.create_task(self._run_schedule(processes))
         records = await asyncio.gather(*(role.run() for role in roles))
@@ -108,7 +108,7 @@
         return list(records)
 
     async def _run_schedule(self, processes: Mapping[TargetKind, Sequence[SimulatedProcess]]) -> None:
-        """Carry out the steps on sidecars and planners."""
+        """Carry out the scheduled steps on sidecars and planners."""
         for step in self.timeline.steps:
             if step.target in processes:
                 await self.clock.sleep_until(step.at_us)
@@ -117,7 +117,7 @@
                 processes[step.target][step.index].apply(step)
 
     async def _stop(self, loop: SimLoop, processes: Sequence[SimulatedProcess]) -> None:
-        """Stop all processes; an exception of a process fails the run."""
+        """Stop all processes. The run fails if a process raised an exception."""
         for process in processes:
             process.stop_event.set()
         for process in processes:
--- a/ryepier/emulator/simulated_logs.py
+++ b/ryepier/emulator/simulated_logs.py
@@ -18,7 +18,7 @@
     """Writes each process's records to a file of its own. An exception that a process logs fails the run."""
 
     def __init__(self, loop: SimLoop, folder: Path | None) -> None:
-        """Write log files to `folder`; without one, only add logged exceptions to the failures of `loop`."""
+        """Write log files to `folder`, if it is given. Logged exceptions are added to the failures of `loop`."""
         super().__init__()
         self.loop = loop
         self.folder = folder
@@ -27,7 +27,7 @@
         self.setFormatter(JsonLinesFormatter())
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Handle a record of a simulated process; other records are ignored."""
+        """Handle a log record of a simulated process; records of other code are ignored."""
         process_name = CURRENT_PROCESS.get()
         if not process_name:
             return
@@ -52,7 +52,7 @@
 
 @contextlib.contextmanager
 def capture_logs(loop: SimLoop, folder: Path | None) -> Iterator[None]:
-    """Send the root logger's records to the run's files; without a folder, only look for exceptions."""
+    """Write the root logger's records to files in `folder`; without a folder, only detect logged exceptions."""
     root = logging.getLogger()
     handlers, level = root.handlers[:], root.level
     handler = ProcessLogs(loop, folder)
--- a/ryepier/emulator/simulated_processes.py
+++ b/ryepier/emulator/simulated_processes.py
@@ -1,4 +1,4 @@
-"""Sidecars and planners as simulated processes: one event loop, clocks for each process, and scheduled faults."""
+"""Sidecars and planners as simulated processes on one event loop, with scheduled faults and clocks of their own."""
 
 from __future__ import annotations
 
@@ -18,34 +18,34 @@
 from ryepier.sim.process import CURRENT_PROCESS, Clocks
 from ryepier.sim.run import SimLoop
 
-PLANNER_SEED_FACTOR = 1000  # so that each incarnation of a planner has a seed of its own
+PLANNER_SEED_FACTOR = 1000  # multiplies the run's seed, so that each incarnation of a planner has its own seed
 
 
 class SimulatedProcess:
-    """A sidecar or planner and its successive processes, all on the clocks of one machine."""
+    """A sidecar or planner and its successive processes, which use the clocks of the same machine."""
 
-    kind = ""  # the name of this kind of process in records and logs
+    kind = ""  # "sidecar" or "planner", used in process names
 
     def __init__(self, loop: SimLoop, index: int) -> None:
         """Prepare the process; `start` starts it."""
         self.loop = loop
         self.index = index
-        self.stop_event = asyncio.Event()  # ends the present process
+        self.stop_event = asyncio.Event()  # ends the current process
         self.incarnations: list[Incarnation] = []
         self.clocks = Clocks()
         self.task: asyncio.Task[None] | None = None
 
     @property
     def process_name(self) -> str:
-        """The name by which the loop knows the present process."""
+        """The name of the current process in the event loop and the logs."""
         return f"{self.kind} {self.index}, life {len(self.incarnations)}"
 
     def run(self) -> Coroutine[Any, Any, None]:
-        """Return the coroutine of the process, which ends after `stop_event` is set."""
+        """Return the coroutine that runs the process. It ends after `stop_event` is set."""
         raise NotImplementedError
 
     def start(self) -> None:
-        """Start a new process, with a new record."""
+        """Start a new process, and add a record for it to `incarnations`."""
         now_us = monotonic_us()
         self.incarnations.append(Incarnation(self.index, now_us, now_us))
         self.stop_event = asyncio.Event()
@@ -62,7 +62,7 @@
         incarnation.killed, incarnation.ended_us = True, monotonic_us()
 
     def apply(self, step: Step) -> None:
-        """Carry out one step of the schedule; while the process is down, only a restart has an effect."""
+        """Carry out one step of the fault schedule. While the process is down, only a restart has an effect."""
         incarnation = self.incarnations[-1]
         if step.action is FaultAction.RESTART:
             if incarnation.killed:
@@ -88,7 +88,10 @@
             self.loop.set_rate(self.process_name, step.factor if step.action is FaultAction.SET_CLOCK_RATE else 1.0)
 
     def incarnations_since(self, origin_us: int) -> list[Incarnation]:
-        """Return the records of all processes, with times counted from `origin_us`; a running process ends now."""
+        """Return the records of all processes, with times counted from `origin_us`.
+
+        The current time is recorded as the end of a process that is still running.
+        """
         for incarnation in self.incarnations:
             incarnation.end_suspension(monotonic_us())
             if incarnation.ended_us == NEVER:
@@ -102,13 +105,13 @@
     kind = "sidecar"
 
     def __init__(self, loop: SimLoop, index: int, config: Config, components: Components) -> None:
-        """Prepare the process; `start` starts it."""
+        """Prepare a sidecar with this configuration; `start` starts it."""
         super().__init__(loop, index)
         self.config = config
         self.components = components
 
     def run(self) -> Coroutine[Any, Any, None]:
-        """Return the coroutine of the sidecar."""
+        """Return the coroutine that serves requests until `stop_event` is set."""
         return serve(self.config, self.stop_event, asyncio.Event(), self.components)
 
 
@@ -118,12 +121,12 @@
     kind = "planner"
 
     def __init__(self, loop: SimLoop, index: int, settings: OperatorSettings, seed: int) -> None:
-        """Prepare the process; `start` starts it."""
+        """Prepare a planner; `start` starts it. `seed` is the seed of the run."""
         super().__init__(loop, index)
         self.settings = settings
         self.seed = seed
 
     async def run(self) -> None:
-        """Run the planner."""
+        """Run the planner until `stop_event` is set."""
         planner = planning.make_planner(self.settings, self.seed * PLANNER_SEED_FACTOR + len(self.incarnations))
         await planner.run(self.stop_event)
--- a/ryepier/emulator/slices.py
+++ b/ryepier/emulator/slices.py
@@ -1,8 +1,8 @@
-"""Discovery through EndpointSlices: an API server for each sidecar, notified of changes after its own delay.
+"""Discovery through EndpointSlices: each sidecar has an API server, which learns of changes after its own delay.
 
-A share of the drains (`mess` in the world file) comes with contradictory slices, as they occur in real clusters: a
-second slice that still lists the endpoint as ready, a slice recreated from outdated content, or a newer state
-overwritten by an older one.
+For a share of the drains (`mess` in the world file), the slices are contradictory, as can happen in real clusters: a
+second slice still lists the endpoint as ready, a slice is recreated from outdated content, or an older state
+overwrites a newer one.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 
 
 class Conflict(enum.Enum):
-    """A contradiction that comes with a drain."""
+    """A contradiction between slices, or with an earlier state, that accompanies a drain."""
 
     SECOND_SLICE = enum.auto()  # another slice still lists the endpoint as ready
-    RECREATED_SLICE = enum.auto()  # the slice is deleted, and created again with the earlier state
-    STALE_WRITE = enum.auto()  # the earlier state is written over the new one
+    RECREATED_SLICE = enum.auto()  # the slice is deleted and created again with the earlier state
+    STALE_WRITE = enum.auto()  # the earlier state overwrites the new one
 
 
 CONFLICTS = tuple(Conflict)
@@ -43,7 +43,7 @@
 
 
 def make_endpoint(entry: dict[str, Any]) -> ApiObject:
-    """Return the endpoint for an entry of the platform's list."""
+    """Return the EndpointSlice endpoint for an entry of the platform's endpoint list."""
     is_leaving = entry["state"] == ListState.LEAVING
     return {
         "addresses": [entry["endpoint"].rpartition(":")[0]],
@@ -61,8 +61,8 @@
         """Start without slices; each holds up to `slice_size` endpoints."""
         self.store = store
         self.slice_size = slice_size
-        self.endpoints_by_slice: dict[str, dict[str, ApiObject]] = {}  # endpoints by slice and pod
-        self.removed_versions: dict[str, int] = {}  # removed pods, with the resource version of the removal
+        self.endpoints_by_slice: dict[str, dict[str, ApiObject]] = {}  # by slice name and pod uid
+        self.removed_versions: dict[str, int] = {}  # by pod uid: the resource version of its removal
 
     def apply_change(self, entry: dict[str, Any], conflict: Conflict | None = None) -> None:
         """Apply a change of a pod's state, with a contradiction if one is given. Removed pods are not listed again."""
@@ -79,7 +79,7 @@
             self._add_conflict(conflict, name, entry)
 
     def _slice_for(self, uid: str) -> str:
-        """Return the name of the regular slice that lists a pod, else of one with room for it, else a new name."""
+        """Return the name of the regular slice that lists a pod, else of a slice with room, else of a new slice."""
         regular_slices = {
             name: pods for name, pods in self.endpoints_by_slice.items() if not name.startswith(EXTRA_PREFIX)
         }
@@ -116,10 +116,10 @@
 
 
 class SlicesAgent:
-    """One sidecar's API server, in place of a `ryepier.emulator.discovery.Agent`."""
+    """One sidecar's API server. It replaces a `ryepier.emulator.discovery.Agent`, and has the same interface."""
 
     def __init__(self, owner: AgentOwner, sidecar: int, listing: dict[str, Any]) -> None:
-        """Start with the full list at the beginning of the run; `listen` opens the socket."""
+        """Start with the full list at the beginning of the run, as slices; `listen` opens the socket."""
         self.owner = owner
         self.sidecar = sidecar
         settings = owner.plan.world.discovery
@@ -134,7 +134,7 @@
         await self.api.listen(*self.owner.plan.discovery_address(self.sidecar))
 
     async def apply(self, step: Step, entry: dict[str, Any] | None) -> None:
-        """Carry out one step of the schedule; `entry` is the changed converter of a notification."""
+        """Carry out one step of the fault schedule; `entry` is the changed converter if the step is a notification."""
         if step.action is FaultAction.NOTIFY and entry is not None:
             self.cluster.apply_change(entry, self._conflict_of(entry))
         elif step.action is FaultAction.MUTE:
@@ -145,21 +145,21 @@
             self.api.close()
         elif step.action is FaultAction.UP:
             self.cluster.store.compact()
-            if not self.api.is_listening:  # two overlapping faults may have restarted it already
+            if not self.api.is_listening:  # if two faults overlap, the end of the first has restarted it
                 await self.listen()
         elif step.action is FaultAction.BREAK_WATCHES:
             self.api.end_connections()
         self.api.on_change()
 
     def _conflict_of(self, entry: dict[str, Any]) -> Conflict | None:
-        """Return the contradiction that comes with a drain; the same for all sidecars, as they share one cluster."""
+        """Return the contradiction for a drain, if any. It is the same for all sidecars, as they share one cluster."""
         number = int(entry["uid"].rpartition("-")[2], 16)
         if entry["state"] != ListState.LEAVING or number % PERCENT >= self._conflict_share * PERCENT:
             return None
         return CONFLICTS[number % len(CONFLICTS)]
 
     def _record_notices(self, writer: asyncio.StreamWriter, objects: list[ApiObject], is_full_list: bool) -> None:
-        """Record the states that the sidecar is notified of; a full list implies that missing converters have left."""
+        """Record the states that are sent to the sidecar. A full list implies that missing converters have left."""
         now_us = self.owner.clock.now_us()
         states: dict[str, ListState] = {}
         for api_object in objects:
@@ -175,7 +175,7 @@
         ]
 
     def send_heartbeat(self) -> None:
-        """Do nothing: the API server writes bookmarks by itself."""
+        """Do nothing, as the API server writes bookmarks by itself."""
 
     def end_connections(self) -> None:
         """Reset all connections."""
--- a/ryepier/emulator/timeline.py
+++ b/ryepier/emulator/timeline.py
@@ -1,4 +1,4 @@
-"""The fault schedule: the steps of a world's faults, and the converter processes, including those that steps start.
+"""The fault schedule: the steps of a world's faults, and all converter processes, also those that steps start.
 
 This module is pure. The schedule depends only on the world and the seed, so every process of the emulator computes it
 for itself and carries out its own steps. Times are microseconds since the run began.
@@ -27,9 +27,9 @@
     RESUME = "resume"  # sidecar or planner: SIGCONT
     SHIFT_WALL_CLOCK = "jump"  # sidecar: shift the wall clock forward or back
     SET_CLOCK_RATE = "drift"  # sidecar: let its clocks run faster or slower
-    NOTIFY = "tell"  # discovery: write a change to the sidecar's watch
+    NOTIFY = "tell"  # discovery: send a change to the sidecar
     MUTE = "silence"  # discovery: write nothing, not even heartbeats
-    FREEZE_LIST = "hold"  # discovery: hold changes back, and otherwise behave normally
+    FREEZE_LIST = "hold"  # discovery: hold back changes, and otherwise behave normally
     RESUME_UPDATES = "speak"  # discovery: write the changes that were held back
     DOWN = "down"  # discovery: end the open connections and refuse new ones
     UP = "up"  # discovery: accept connections again
@@ -46,7 +46,7 @@
 
 
 class ListState(enum.StrEnum):
-    """A converter's state in the endpoint list; a converter never returns to an earlier one."""
+    """A converter's state in the endpoint list. A converter never returns to an earlier state."""
 
     ACTIVE = "active"
     LEAVING = "leaving"  # draining
@@ -60,25 +60,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One action of the schedule on the target of this kind and index."""
+    """One action of the schedule, on the target of kind `target` with this index."""
 
     at_us: int
     target: TargetKind
     index: int
     action: FaultAction
     fault: FaultKind | None = None  # the fault that the step belongs to
-    factor: float = 1.0  # SHIFT_WALL_CLOCK: seconds
-    share: float = 1.0
+    factor: float = 1.0  # the fault's factor; for SHIFT_WALL_CLOCK, the shift in seconds
+    share: float = 1.0  # share of requests that the fault affects
     uid: str = ""
-    state: ListState | None = None  # NOTIFY: the uid's new state
-    via: frozenset[int] | None = None  # only requests from these sidecars; None = from all
+    state: ListState | None = None  # NOTIFY: the new state of the converter `uid`
+    via: frozenset[int] | None = None  # the fault affects only requests from these sidecars; None = from all sidecars
 
 
 @dataclass(frozen=True, slots=True)
 class Instance:
     """One process of a converter, with a uid and an address of its own."""
 
-    index: int  # among all instances of the run
+    index: int  # position among all instances of the run
     uid: str
     machine: draws.Machine
     start_us: int | None  # None: already running and warm when the run begins
@@ -113,7 +113,7 @@
     FaultKind.DISCOVERY_STALE: (TargetKind.DISCOVERY, FaultAction.FREEZE_LIST, FaultAction.RESUME_UPDATES),
     FaultKind.WATCH_BREAK: (TargetKind.DISCOVERY, FaultAction.BREAK_WATCHES, None),
 }
-"""Faults with one action at their beginning and at most one at their end, as (target, first action, last action)."""
+"""Faults with one action at the beginning and at most one at the end, as (target, first action, last action)."""
 
 
 def to_us(seconds: float) -> int:
@@ -122,7 +122,7 @@
 
 
 class _Builder:
-    """Expands a world's faults in the order in which they begin, which is also the order of the random draws."""
+    """Expands a world's faults into steps. Faults are expanded, and random samples taken, in the order of `at_s`."""
 
     def __init__(self, world: World, seed: int) -> None:
         self.world = world
@@ -132,7 +132,7 @@
         self.instances = [
             Instance(machine.index, f"c-{machine.index:04x}", machine, None) for machine in draws.machines(world, seed)
         ]
-        # each converter's processes in the order of their starts
+        # for each converter, its processes in the order in which they start
         self.instances_by_converter = [[instance] for instance in self.instances]
 
     def build(self) -> Timeline:
@@ -142,7 +142,7 @@
         return Timeline(self.instances, self.steps)
 
     def add_fault(self, fault: Fault) -> None:
-        """Add a fault's steps; surges and heavy tails have none, as they are part of the sampled arrivals."""
+        """Add a fault's steps. Surges, heavy tails and hot sidecars have none: they affect the sampled arrivals."""
         if fault.kind in CONVERTER_FAULTS:
             self.add_converter_fault(fault)
         elif fault.kind in INTERVAL_FAULTS:
@@ -192,7 +192,7 @@
             self.add_step(to_us(fault.at_s + fault.for_s), TargetKind.CONVERTER, index, FaultAction.END, fault)
 
     def add_zone_partition(self, fault: Fault) -> None:
-        """Partition the converters and sidecars of one zone from those of the others."""
+        """Partition the converters and sidecars of one zone from those of the other zones."""
         zones, sidecars = self.world.zones, range(self.world.sidecars.count)
         sidecars_inside = frozenset(index for index in sidecars if zones[self.world.sidecar_zone(index)] == fault.zone)
         sidecars_outside = frozenset(sidecars) - sidecars_inside
@@ -235,7 +235,7 @@
         self.add_notices(fault, new_instance, ListState.ACTIVE, start_us)
 
     def add_notices(self, fault: Fault, instance: Instance, state: ListState, changed_us: int) -> None:
-        """Notify each sidecar's agent of a change after a delay of its own."""
+        """Add the steps that notify each sidecar's agent of a change, each after its own sampled delay."""
         for sidecar in range(self.world.sidecars.count):
             delay_us = int(self.notice_random.uniform(*self.world.discovery.notice_delay_ms) * 1000)
             self.steps.append(
--- a/ryepier/emulator/world.py
+++ b/ryepier/emulator/world.py
@@ -1,6 +1,6 @@
 """World files: the schema and validation of the scenarios that the emulator runs.
 
-This module is pure: text in, a validated `World` out. It also maps a file's keys to the names used in the code.
+This module is pure: it parses text into a validated `World`, and maps a file's keys to the names used in the code.
 Durations end in `_s` or `_ms`, shares are between 0 and 1, and a range `[min, max]` is sampled uniformly.
 """
 
@@ -19,7 +19,7 @@
 Count = Annotated[int, msgspec.Meta(ge=1, le=100_000)]
 Range = tuple[NonNegative, NonNegative]
 
-# requests per run, without retries; their columns and records must fit in the memory of one process
+# requests per run, without retries; the samples and records of all requests must fit in the memory of one process
 MAX_ARRIVALS = 2_000_000
 MAX_SHARE_SUM_ERROR = 0.01  # tolerance for shares that must add up to 1
 
@@ -28,7 +28,7 @@
     """The effect of running a request of a class more than once."""
 
     IDEMPOTENT = "idempotent"
-    DEDUPLICATED = "deduplicated"  # repeats with the same key do not run, within the scope and window
+    DEDUPLICATED = "deduplicated"  # within the scope and window, repeats with the same key do not run
     AT_MOST_ONCE = "at_most_once"
 
 
@@ -52,8 +52,8 @@
     """Whether clients speak GraphQL, and how often their documents repeat."""
 
     OFF = "no"
-    USUAL = "usual"  # a few documents that repeat, as programs send them
-    UNIQUE = "unique"  # each request with a document of its own
+    USUAL = "usual"  # clients repeat a few documents, as programs usually do
+    UNIQUE = "unique"  # each request has a document of its own
 
 
 class FaultKind(enum.StrEnum):
@@ -95,7 +95,7 @@
     )
 )
 PLANNER_FAULTS = frozenset((FaultKind.PLANNER_KILL, FaultKind.PLANNER_HANG))
-SIMULATION_ONLY_FAULTS = frozenset((FaultKind.CLOCK_JUMP, FaultKind.CLOCK_DRIFT))  # they need a virtual clock
+SIMULATION_ONLY_FAULTS = frozenset((FaultKind.CLOCK_JUMP, FaultKind.CLOCK_DRIFT))  # these need a virtual clock
 
 
 def _check_range(name: str, values: tuple[float, float], must_be_positive: bool = False) -> None:
@@ -112,12 +112,12 @@
     model: str = "m1"
     zone: str = "a"
     cores: Count = 3
-    speed: Range = (1.0, 1.0)  # work done per core and second, in standard cores
-    # limit of waiting requests; further ones are rejected
+    speed: Range = (1.0, 1.0)  # speed of a core, relative to a standard core
+    # limit of waiting requests; additional requests are rejected
     queue_limit: Annotated[int, msgspec.Meta(ge=0)] = msgspec.field(name="waiting_room", default=24)
-    connections: Count = 256  # limit of open connections; requests on further ones are rejected
-    handshake_ms: NonNegative = 0.3  # work of accepting a connection
-    pod_size: Count = 3  # converters that share one idempotency cache
+    connections: Count = 256  # limit of open connections; requests on additional connections are rejected
+    handshake_ms: NonNegative = 0.3  # service time of accepting a connection, on a standard core
+    pod_size: Count = 3  # number of converters that share one idempotency cache
     idle_close_s: Positive = 5.0
 
     def __post_init__(self) -> None:
@@ -130,12 +130,13 @@
 
     initial_capacity_share: Annotated[float, msgspec.Meta(gt=0, le=1)] = msgspec.field(name="cold_share", default=0.12)
     warm_up_s: NonNegative = 5.5
-    overload_factor: Positive = 4.0  # crashes above this multiple of its present capacity, over the window below
+    # a converter crashes if the work in the overload window exceeds this multiple of its current capacity
+    overload_factor: Positive = 4.0
     overload_window_s: Positive = msgspec.field(name="fall_s", default=0.75)
 
 
 class Reports(msgspec.Struct, kw_only=True, frozen=True):
-    """Load reports in converters' responses, and how often a converter refreshes its own."""
+    """The content of the converters' load reports, and how often a converter refreshes its report."""
 
     names: list[Literal["inflight", "queue", "util"]] = msgspec.field(default_factory=lambda: ["inflight", "queue"])
     refresh_ms: Range = (15.0, 110.0)
@@ -150,11 +151,12 @@
 
     name: str
     share: Share
-    work_ms: Range  # on a standard core
+    work_ms: Range  # service time on a standard core
     objective_ms: Positive = msgspec.field(name="aim_ms")  # latency objective
     deadline_ms: Positive
     priority_weight: NonNegative = msgspec.field(name="worth", default=1.0)
-    late_weight: Share = msgspec.field(name="late_worth", default=0.0)  # weight between objective and deadline
+    # weight of a response between objective and deadline
+    late_weight: Share = msgspec.field(name="late_worth", default=0.0)
     effect: Effect = Effect.IDEMPOTENT
     scope: DeduplicationScope = msgspec.field(name="group", default=DeduplicationScope.ALL)
     idempotency_window_ms: NonNegative = msgspec.field(name="memory_ms", default=0.0)
@@ -163,22 +165,22 @@
         """Raise ValueError for values that contradict each other."""
         _check_range("work_ms", self.work_ms, must_be_positive=True)
         if self.deadline_ms < self.objective_ms:
-            raise ValueError("deadline_ms: expected no less than aim_ms")
+            raise ValueError("deadline_ms: expected at least aim_ms")
         if self.effect is Effect.DEDUPLICATED and self.idempotency_window_ms == 0:
-            raise ValueError("memory_ms: expected above 0 where the effect is deduplicated")
+            raise ValueError("memory_ms: expected a value above 0 for the effect deduplicated")
 
 
 class Tenant(msgspec.Struct, kw_only=True, frozen=True):
-    """A customer; `share` is its part of the traffic and of the service."""
+    """A tenant. `share` is its share of the arrivals; sidecars give requests that exceed this share a lower weight."""
 
     name: str
     share: Share
 
 
 class Clients(msgspec.Struct, kw_only=True, frozen=True):
-    """The load and how clients behave. It is open-loop: arrivals are sampled in advance and never wait for answers."""
+    """The load and how clients behave. The load is open-loop: arrivals never wait for responses."""
 
-    rate_per_s: Positive  # arrivals, over all sidecars
+    rate_per_s: Positive  # arrivals at all sidecars together
     ramp_to_per_s: NonNegative = 0.0  # the rate rises linearly to this value at the end of the run; 0 = a constant rate
     retries: Annotated[int, msgspec.Meta(ge=0, le=20)] = 2
     backoff: Backoff = Backoff.EXPONENTIAL
@@ -186,7 +188,7 @@
     honours_retry_after: bool = True
     # share of the clients that honour Retry-After if `honours_retry_after` is set; the others ignore it
     honouring_share: Share = msgspec.field(name="obedient", default=1.0)
-    sends_retry_header: bool = msgspec.field(name="marks_retries", default=False)  # X-Retry, on retries
+    sends_retry_header: bool = msgspec.field(name="marks_retries", default=False)  # retries carry X-Retry
     # timeout of an attempt as a share of its class's deadline
     timeout_share: Range = msgspec.field(name="patience", default=(0.5, 1.0))
     hint_error: Share = 0.1  # largest relative error of a cost hint
@@ -210,11 +212,11 @@
 
 
 class Sidecars(msgspec.Struct, kw_only=True, frozen=True):
-    """The sidecars under test, a process each. With a count of 0, clients connect to the converters directly."""
+    """The sidecars under test, one process each. With a count of 0, clients connect to the converters directly."""
 
     count: Annotated[int, msgspec.Meta(ge=0, le=5000)]  # at most 200 on real sockets
-    zoned: bool = False  # spread over the converters' zones; otherwise all are in the first zone
-    skew: NonNegative = 0.0  # exponent of a Zipf distribution of the traffic over the sidecars
+    zoned: bool = False  # sidecars are spread over the converters' zones; otherwise all are in the first zone
+    skew: NonNegative = 0.0  # exponent of the Zipf distribution of arrivals over the sidecars
     sockets: Annotated[int, msgspec.Meta(ge=64)] = 1024
     memory_mb: Count = 192
     list_on_request: bool = False
@@ -234,7 +236,7 @@
     # endpoints per EndpointSlice, with an API server for each sidecar; 0 = the platform's discovery agents
     slice_size: Annotated[int, msgspec.Meta(ge=0, le=1000)] = 0
     conflict_share: Share = msgspec.field(name="mess", default=0.0)  # share of drains with contradictory slices
-    watch_s: Annotated[int, msgspec.Meta(ge=5)] = 60  # duration of a watch that sidecars request, with slices
+    watch_s: Annotated[int, msgspec.Meta(ge=5)] = 60  # with slices: the duration that sidecars request for a watch
 
     def __post_init__(self) -> None:
         """Raise ValueError for values that contradict each other."""
@@ -242,7 +244,7 @@
 
 
 class Planners(msgspec.Struct, kw_only=True, frozen=True):
-    """The planners, a process each; with any, the sidecars are forwarders that follow their plans."""
+    """The planners, one process each. If there are any, the sidecars are forwarders that follow the planners' plans."""
 
     count: Annotated[int, msgspec.Meta(ge=0, le=20)] = 0
     report_ms: Annotated[int, msgspec.Meta(ge=200)] = 250
@@ -255,26 +257,27 @@
     kind: FaultKind
     at_s: NonNegative
     for_s: NonNegative = 0.0
-    # share of the converters or sidecars that it affects; at least one is affected
+    # share of the targets that the fault affects; at least one is affected
     target_share: Annotated[float, msgspec.Meta(gt=0, le=1)] = msgspec.field(name="part", default=1.0)
     factor: Positive = 1.0  # multiplies the rate or the work, or divides a slow converter's speed
-    share: Share = 1.0  # share of requests that it affects
+    share: Share = 1.0  # share of requests that the fault affects
     tenant: str = ""
     request_class: str = ""
     zone: str = ""  # zone-cut: the zone that is partitioned from the others
-    drain_s: NonNegative = 1.0  # release: from the start of draining to the process's end
-    down_s: NonNegative = 0.5  # release: from the end to the replacement's start; a kill: to the restart
-    index: Annotated[int, msgspec.Meta(ge=0)] | None = None  # the only target that it affects; None = sampled targets
+    drain_s: NonNegative = 1.0  # release: time between the start of draining and the end of the process
+    # release: time between the end of a process and the start of its replacement; kill: time until the restart
+    down_s: NonNegative = 0.5
+    index: Annotated[int, msgspec.Meta(ge=0)] | None = None  # the only target; None = sampled targets
     via: Annotated[int, msgspec.Meta(ge=0)] | None = None  # turn-away: only requests from this sidecar
     jump_s: float = 0.0  # clock-jump: change of a sidecar's wall clock
 
 
 class HarnessSettings(msgspec.Struct, kw_only=True, frozen=True):
-    """The emulator's own processes, and the lateness up to which a run is valid."""
+    """The emulator's own processes, and their maximum lateness in a valid run."""
 
     converter_processes: Count = 2
     client_processes: Count = 1
-    lateness_ms: Positive = 40.0  # limit for the 99.9th percentile of the emulator's own delays
+    lateness_ms: Positive = 40.0  # limit of the 99.9th percentile of each process's lateness
 
 
 class World(msgspec.Struct, kw_only=True, frozen=True):
@@ -321,7 +324,7 @@
 
     def _check_fault(self, location: str, fault: Fault) -> None:
         if fault.at_s >= self.duration_s:
-            raise ValueError(f"{location}: at_s is not before the end of the world")
+            raise ValueError(f"{location}: at_s: expected a time before the end of the run")
         if fault.kind is FaultKind.TENANT_SURGE and fault.tenant not in {tenant.name for tenant in self.tenants}:
             raise ValueError(f"{location}: unknown tenant {fault.tenant!r}")
         if fault.kind is FaultKind.HEAVY_TAIL and fault.request_class not in {
@@ -350,7 +353,7 @@
 
     @property
     def converter_count(self) -> int:
-        """The number of converters of all groups."""
+        """The total number of converters in all groups."""
         return sum(group.count for group in self.converters)
 
 
--- a/tests/test_emulated_clients.py
+++ b/tests/test_emulated_clients.py
@@ -1,4 +1,4 @@
-"""Emulated clients on real sockets, also when their own process is delayed."""
+"""Emulated clients on real sockets, including delays of the client process itself."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def make_attempt(sent_us: int = NEVER) -> ClientAttempt:
-    """Return a first attempt of the class whose requests must not run twice."""
+    """Return a first attempt of the class whose requests may run at most once."""
     return ClientAttempt(
         0, 0, "0001-000000-0", "", 1, 0, 0, 1000, 0, sent_us, int(DEADLINE_S * 1e6), NEVER, RequestOutcome.TIMEOUT
     )
@@ -46,7 +46,7 @@
 
     async def connect_slowly(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
         await original_connect(loop, sock, address)
-        time.sleep(DEADLINE_S + 0.1)  # blocks the process, so that the timeout is due in the next loop iteration
+        time.sleep(DEADLINE_S + 0.1)  # blocks the event loop, so that the timeout is due in its next iteration
 
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -78,7 +78,7 @@
 
         async def connect_and_wait(*arguments: Any, **options: Any) -> Any:
             connection = await original_connect(*arguments, **options)
-            await asyncio.sleep(1.0)
+            await asyncio.sleep(1.0)  # longer than the attempt's timeout of 50 ms
             return connection
 
         monkeypatch.setattr(loop, "create_connection", connect_and_wait)
@@ -127,7 +127,7 @@
 
 
 async def exchange(server: ConverterServer, data: bytes, wait_s: float = HANG_TIMEOUT_S) -> str:
-    """Send data, and return the status and body of the response, or a word that says how the exchange failed."""
+    """Send data, and return the status and body of the response, or a description of the failure such as "reset"."""
     address = server.owner.plan.converter_address(0)
     writer = None
     try:
--- a/tests/test_emulator_formats.py
+++ b/tests/test_emulator_formats.py
@@ -1,4 +1,4 @@
-"""File formats compared with fixtures: world files, records, checkpoints of explorations, and recorded paths."""
+"""File formats compared with fixtures: world files, records, and the model checker's checkpoints and recorded paths."""
 
 from __future__ import annotations
 
