--- a/ryepier/emulator/api_server.py
+++ b/ryepier/emulator/api_server.py
@@ -205,17 +205,17 @@
         """
         requested_version = query.get("resourceVersion", "")
         version = int(requested_version) if requested_version.isdecimal() else 0
-        existing: list[ApiObject] = []
+        existing_objects: list[ApiObject] = []
         if version:
             self.store.events_since(version)
         else:
             version = self.store.version
-            existing = self.store.select(namespace, labels)
+            existing_objects = self.store.select(namespace, labels)
         ends_at_s = system.monotonic() + float(query.get("timeoutSeconds", DEFAULT_WATCH_S))
         wants_bookmarks = query.get("allowWatchBookmarks") in TRUE_VALUES
         watch = Watch(writer, namespace, labels, version, wants_bookmarks, ends_at_s)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")
-        for api_object in existing:
+        for api_object in existing_objects:
             await self._write_event(watch, EventType.ADDED, api_object)
         await self._stream_events(watch)
         await self._write(writer, b"0\r\n\r\n")
--- a/ryepier/emulator/client_connection.py
+++ b/ryepier/emulator/client_connection.py
@@ -50,7 +50,7 @@
         self.idle_connections: list[ClientConnection] = []
         self.host = b"%s:%d" % (address[0].encode(), address[1])
 
-    def take_idle(self) -> ClientConnection | None:
+    def take_idle_connection(self) -> ClientConnection | None:
         """Remove and return the most recently used idle connection that is still open; None if there is none."""
         while self.idle_connections:
             connection = self.idle_connections.pop()
--- a/ryepier/emulator/client_messages.py
+++ b/ryepier/emulator/client_messages.py
@@ -53,7 +53,7 @@
             b"Host: " + host,
             b"X-Request-Id: " + attempt.request_id.encode(),
             b"X-Class: " + class_name,
-            b"X-Tenant: " + self._tenant(attempt),
+            b"X-Tenant: " + self._tenant_name(attempt),
             b"X-Deadline-Ms: %d" % remaining_ms,
             b"X-Work-Us: %d" % attempt.work_us,
         ]
@@ -67,7 +67,7 @@
         body = b"" if is_idempotent else b"file=%d" % attempt.arrival
         if body:
             headers.append(b"Content-Length: %d" % len(body))
-        return _join(headers, body)
+        return _join_message(headers, body)
 
     def _encode_graphql(self, attempt: ClientAttempt, host: bytes, remaining_ms: int) -> bytes:
         request = graphql.make_request(
@@ -82,16 +82,16 @@
             b"Host: " + host,
             b"X-Request-Id: " + attempt.request_id.encode(),
             b"X-Deadline-Ms: %d" % remaining_ms,
-            b"X-Tenant: " + self._tenant(attempt),
+            b"X-Tenant: " + self._tenant_name(attempt),
             b"X-Work-Us: %d" % attempt.work_us,
         ]
         if request.body:
             headers += [b"Content-Type: application/json", b"Content-Length: %d" % len(request.body)]
-        return _join(headers, request.body)
+        return _join_message(headers, request.body)
 
-    def _tenant(self, attempt: ClientAttempt) -> bytes:
+    def _tenant_name(self, attempt: ClientAttempt) -> bytes:
         return self.world.tenants[attempt.tenant].name.encode()
 
 
-def _join(headers: list[bytes], body: bytes) -> bytes:
+def _join_message(headers: list[bytes], body: bytes) -> bytes:
     return b"\r\n".join(headers) + b"\r\n\r\n" + body
--- a/ryepier/emulator/client_request.py
+++ b/ryepier/emulator/client_request.py
@@ -57,7 +57,7 @@
 
     def start(self) -> None:
         """Send the attempt on an idle connection, or open a new connection for it."""
-        connection = self.target.take_idle()
+        connection = self.target.take_idle_connection()
         if connection is None:
             self.owner.spawn(self._connect())
             return
--- a/ryepier/emulator/clients.py
+++ b/ryepier/emulator/clients.py
@@ -64,12 +64,12 @@
         """Send this process's share of the arrivals, wait until the run ends, and return the records."""
         counts_task = asyncio.create_task(self._send_counts()) if self._sends_counts else None
         is_round_robin = self.world.sidecars.count == 0 or bool(self.plan.targets)
-        times_us = self.arrivals.at_us.tolist()
+        arrival_times_us = self.arrivals.at_us.tolist()
         sidecar_indexes = self.arrivals.sidecar.tolist()
-        for index in range(self.plan.index, len(times_us), self._process_count):
-            if times_us[index] > self.clock.now_us():
-                await self.clock.sleep_until(times_us[index])
-            self.meter.record(times_us[index])
+        for index in range(self.plan.index, len(arrival_times_us), self._process_count):
+            if arrival_times_us[index] > self.clock.now_us():
+                await self.clock.sleep_until(arrival_times_us[index])
+            self.meter.record(arrival_times_us[index])
             target_index = index if is_round_robin else sidecar_indexes[index]
             self._send_arrival(index, target_index % len(self.targets))
         await self.clock.sleep_until(self.plan.end_us)
--- a/ryepier/emulator/converter_model.py
+++ b/ryepier/emulator/converter_model.py
@@ -124,7 +124,7 @@
         self._recent_work_us = 0
         self._hung_since_us = 0
         self._report = ""
-        self._report_until_us = -1
+        self._report_expires_us = -1
 
     def capacity_share(self, now_us: int) -> float:
         """Return the converter's capacity at `now_us` as a share of its full capacity."""
@@ -243,9 +243,9 @@
 
     def load_report(self, now_us: int) -> str:
         """Return the load report in the form `name=value,...`. The values are refreshed at random intervals."""
-        if now_us >= self._report_until_us:
+        if now_us >= self._report_expires_us:
             low_ms, high_ms = self.reports.refresh_ms
-            self._report_until_us = now_us + int(1000 * self.random.uniform(low_ms, high_ms))
+            self._report_expires_us = now_us + int(1000 * self.random.uniform(low_ms, high_ms))
             running, queued = len(self.running), len(self.queue)
             values = {
                 "inflight": f"{running + queued}",
--- a/ryepier/emulator/converter_server.py
+++ b/ryepier/emulator/converter_server.py
@@ -86,7 +86,7 @@
         self._blocking_sockets: list[socket.socket] = []
         self._last_token = 0
         self._timer: asyncio.TimerHandle | None = None
-        self._timer_us = NEVER
+        self._timer_due_us = NEVER
 
     @property
     def uid(self) -> str:
@@ -104,7 +104,7 @@
 
     # Faults
 
-    def _partitions(self, connection: ConverterConnection) -> bool:
+    def _check_partition(self, connection: ConverterConnection) -> bool:
         """Return whether a zone partition drops the connection's request and response; if so, mark the connection."""
         attempt = connection.attempt
         if attempt is None or not self._faults.affects(FaultKind.ZONE_CUT, attempt.request_id.encode("latin-1")):
@@ -202,7 +202,7 @@
         attempt = self._record_attempt(request, request_id)
         connection.end_attempt(AttemptOutcome.CLOSED)  # if this request is pipelined, completes the previous record
         connection.attempt = attempt
-        if self._faults.is_any_of(FaultKind.CUT) or self._partitions(connection):
+        if self._faults.is_any_of(FaultKind.CUT) or self._check_partition(connection):
             return
         if connection.over_limit:
             self._reject(connection)
@@ -274,7 +274,7 @@
         self, connection: ConverterConnection, status: http.HTTPStatus, body: bytes, not_run: bool = False
     ) -> None:
         """Answer the connection's request, unless the current fault drops, resets or truncates the response."""
-        if self._faults.is_unresponsive or self._partitions(connection):
+        if self._faults.is_unresponsive or self._check_partition(connection):
             return
         assert connection.attempt is not None
         request_id = connection.attempt.request_id.encode("latin-1")
@@ -292,11 +292,11 @@
 
     def _arm_timer(self) -> None:
         next_us = self.model.next_us
-        if next_us is None or (self._timer is not None and self._timer_us <= next_us):
+        if next_us is None or (self._timer is not None and self._timer_due_us <= next_us):
             return
         if self._timer is not None:
             self._timer.cancel()
-        self._timer_us = next_us
+        self._timer_due_us = next_us
         self._timer = self.clock.handle_at(next_us, self._on_timer)
 
     def _on_timer(self) -> None:
--- a/ryepier/emulator/converters.py
+++ b/ryepier/emulator/converters.py
@@ -60,7 +60,7 @@
 
     async def run(self) -> RoleRecords:
         """Carry out the schedule's steps until the run ends, and return the records."""
-        idle_check = asyncio.create_task(self._close_idle_connections())
+        idle_check_task = asyncio.create_task(self._close_idle_connections())
         instances_by_index = {instance.index: instance for instance in self.instances}
         for step in self.steps:
             await self.clock.sleep_until(step.at_us)
@@ -71,7 +71,7 @@
                 await self.servers[step.index].apply(step)
             self.record_event(f"{instances_by_index[step.index].uid}: {step.fault} {step.action.value}")
         await self.clock.sleep_until(self.plan.end_us)
-        idle_check.cancel()
+        idle_check_task.cancel()
         for server in self.servers.values():
             server.stop()
         return self.records
--- a/ryepier/emulator/discovery.py
+++ b/ryepier/emulator/discovery.py
@@ -41,8 +41,12 @@
 
 def initial_list(plan: Plan, timeline: Timeline) -> Listing:
     """Return the full list at the beginning of the run."""
-    running = [instance for instance in timeline.instances if instance.start_us is None]
-    return {"rev": 1, "all": True, "targets": [list_entry(plan, instance, ListState.ACTIVE, 0) for instance in running]}
+    running_instances = [instance for instance in timeline.instances if instance.start_us is None]
+    return {
+        "rev": 1,
+        "all": True,
+        "targets": [list_entry(plan, instance, ListState.ACTIVE, 0) for instance in running_instances],
+    }
 
 
 class Registry:
@@ -52,19 +56,19 @@
         """Start with a full list and its revision."""
         self.rev: int = listing["rev"]
         self.targets: dict[str, Entry] = {entry["uid"]: entry for entry in listing["targets"]}
-        self.changed_rev: dict[str, int] = {entry["uid"]: self.rev for entry in listing["targets"]}
+        self.changed_rev_by_uid: dict[str, int] = {entry["uid"]: self.rev for entry in listing["targets"]}
 
     def apply_change(self, entry: Entry) -> bool:
         """Replace an entry, and return whether the list changed.
 
         A converter's state never returns to an earlier one, so an outdated notice that arrives late has no effect.
         """
-        previous = self.targets.get(entry["uid"])
-        if previous is not None and ListState(previous["state"]).rank >= ListState(entry["state"]).rank:
+        previous_entry = self.targets.get(entry["uid"])
+        if previous_entry is not None and ListState(previous_entry["state"]).rank >= ListState(entry["state"]).rank:
             return False
         self.rev += 1
         self.targets[entry["uid"]] = entry
-        self.changed_rev[entry["uid"]] = self.rev
+        self.changed_rev_by_uid[entry["uid"]] = self.rev
         return True
 
     def removed_uids(self) -> list[str]:
@@ -73,15 +77,15 @@
 
     def full_list(self) -> Listing:
         """Return the full list, without the converters that have left."""
-        listed = [entry for entry in self.targets.values() if entry["state"] != ListState.LEFT]
-        return {"rev": self.rev, "all": True, "targets": listed}
+        listed_entries = [entry for entry in self.targets.values() if entry["state"] != ListState.LEFT]
+        return {"rev": self.rev, "all": True, "targets": listed_entries}
 
     def changes_since(self, rev: int) -> Listing:
         """Return the changes after a revision, or the full list if the revision is 0 or unknown to this agent."""
         if rev <= 0 or rev > self.rev:
             return self.full_list()
-        changed = [entry for uid, entry in self.targets.items() if self.changed_rev[uid] > rev]
-        return {"rev": self.rev, "all": False, "targets": changed}
+        changed_entries = [entry for uid, entry in self.targets.items() if self.changed_rev_by_uid[uid] > rev]
+        return {"rev": self.rev, "all": False, "targets": changed_entries}
 
 
 class AgentOwner(Protocol):
@@ -241,7 +245,7 @@
         """Carry out the schedule's steps until the run ends, and return the records."""
         unix_run_start_ms = system.unix_ns() // 1_000_000 - self.clock.now_us() // 1000
         instances_by_uid = {instance.uid: instance for instance in self.timeline.instances}
-        heartbeats = asyncio.create_task(self._send_heartbeats())
+        heartbeat_task = asyncio.create_task(self._send_heartbeats())
         for step in [step for step in self.timeline.steps if step.target is TargetKind.DISCOVERY]:
             await self.clock.sleep_until(step.at_us)
             self.meter.record(step.at_us)
@@ -253,7 +257,7 @@
                 text = f"discovery of sidecar {step.index}: {step.action.value}"
                 self.records.events.append(RecordedEvent(self.clock.now_us(), text))
         await self.clock.sleep_until(self.plan.end_us)
-        heartbeats.cancel()
+        heartbeat_task.cancel()
         for agent in self.agents:
             agent.end_connections()
         await asyncio.sleep(CLOSE_GRACE_S)
--- a/ryepier/emulator/draws.py
+++ b/ryepier/emulator/draws.py
@@ -55,14 +55,14 @@
 def machines(world: World, seed: int) -> list[Machine]:
     """Return the machines of the converters that are up at the beginning of the run."""
     random = stream(seed, "machines")
-    result: list[Machine] = []
+    sampled_machines: list[Machine] = []
     pod = 0
     for group in world.converters:
         for number in range(group.count):
             if number % group.pod_size == 0:
                 pod += 1
-            result.append(Machine(len(result), group, float(random.uniform(*group.speed)), pod))
-    return result
+            sampled_machines.append(Machine(len(sampled_machines), group, float(random.uniform(*group.speed)), pod))
+    return sampled_machines
 
 
 def select_targets(count: int, fault: Fault, random: np.random.Generator) -> list[int]:
@@ -113,8 +113,10 @@
         for fault in world.faults:
             if fault.kind is FaultKind.TENANT_SURGE and fault.tenant == tenant.name:
                 rate[_is_during(fault, step_starts_us)] *= fault.factor
-        counts = random.poisson(rate * RATE_STEP_US / 1e6)
-        tenant_times_us = np.repeat(step_starts_us, counts) + random.integers(0, RATE_STEP_US, int(counts.sum()))
+        arrival_counts = random.poisson(rate * RATE_STEP_US / 1e6)
+        tenant_times_us = np.repeat(step_starts_us, arrival_counts) + random.integers(
+            0, RATE_STEP_US, int(arrival_counts.sum())
+        )
         times_by_tenant.append(tenant_times_us)
         tenant_columns.append(np.full(len(tenant_times_us), index, dtype=np.int64))
     at_us, tenant_indexes = np.concatenate(times_by_tenant), np.concatenate(tenant_columns)
--- a/ryepier/emulator/graphql.py
+++ b/ryepier/emulator/graphql.py
@@ -96,11 +96,13 @@
 
 def settings_table(world: World) -> str:
     """Return the [graphql] table of the sidecars' settings file."""
-    queries = next(request_class.name for request_class in world.classes if request_class.effect is Effect.IDEMPOTENT)
-    mutations = next(
+    query_class = next(
+        request_class.name for request_class in world.classes if request_class.effect is Effect.IDEMPOTENT
+    )
+    mutation_class = next(
         request_class.name for request_class in world.classes if request_class.effect is Effect.AT_MOST_ONCE
     )
-    text = f'[graphql]\npath = "{PATH}"\nqueries = "{queries}"\nmutations = "{mutations}"\n'
+    text = f'[graphql]\npath = "{PATH}"\nqueries = "{query_class}"\nmutations = "{mutation_class}"\n'
     for request_class in world.classes:
         text += (
             f'[[graphql.fields]]\ntype = "{"query" if request_class.effect is Effect.IDEMPOTENT else "mutation"}"\n'
--- a/ryepier/emulator/harness.py
+++ b/ryepier/emulator/harness.py
@@ -133,13 +133,13 @@
 
     def _roles_to_start(self) -> list[tuple[str, int]]:
         """Return the role and index of each emulator process to start."""
-        settings, roles = self.world.harness, list[tuple[str, int]]()
+        settings, roles_to_start = self.world.harness, list[tuple[str, int]]()
         if self.roles.converters_and_discovery:
-            roles += [("discovery", 0)] if self.world.sidecars.count else []
-            roles += [("converters", index) for index in range(settings.converter_processes)]
+            roles_to_start += [("discovery", 0)] if self.world.sidecars.count else []
+            roles_to_start += [("converters", index) for index in range(settings.converter_processes)]
         if self.roles.clients:
-            roles += [("clients", index) for index in range(settings.client_processes)]
-        return roles
+            roles_to_start += [("clients", index) for index in range(settings.client_processes)]
+        return roles_to_start
 
     async def _start_processes(self) -> None:
         """Start the emulator's processes, and wait until they are ready. Raises HarnessError."""
@@ -182,14 +182,14 @@
 
     async def _run(self) -> None:
         """Carry out the schedule until the emulator's processes have ended."""
-        async with asyncio.TaskGroup() as group:
+        async with asyncio.TaskGroup() as task_group:
             for role_process in self._processes:
-                group.create_task(self._read_counts(role_process))
+                task_group.create_task(self._read_counts(role_process))
             background_tasks = [
-                group.create_task(self.sidecars.sample_usage()),
-                group.create_task(self.sidecars.watch_cpu_waits()),
+                task_group.create_task(self.sidecars.sample_usage()),
+                task_group.create_task(self.sidecars.watch_cpu_waits()),
             ]
-            group.create_task(self.run_schedule())
+            task_group.create_task(self.run_schedule())
             await asyncio.gather(*(role_process.process.wait() for role_process in self._processes))
             for task in background_tasks:
                 task.cancel()
--- a/ryepier/emulator/simulated.py
+++ b/ryepier/emulator/simulated.py
@@ -98,9 +98,9 @@
     ) -> list[RoleRecords]:
         """Carry out the fault schedule until the run ends, and return the roles' records."""
         lateness_tasks = [asyncio.create_task(role.meter.measure_event_loop()) for role in roles]
-        schedule = asyncio.create_task(self._run_schedule(processes))
+        schedule_task = asyncio.create_task(self._run_schedule(processes))
         records = await asyncio.gather(*(role.run() for role in roles))
-        await schedule
+        await schedule_task
         for task in lateness_tasks:
             task.cancel()
         for role, role_records in zip(roles, records, strict=True):
--- a/ryepier/emulator/slices.py
+++ b/ryepier/emulator/slices.py
@@ -127,29 +127,29 @@
         self.cluster = Cluster(Store(), settings.slice_size)
         for entry in listing["targets"]:
             self.cluster.apply_change(entry)
-        self.api = ApiServer(self.cluster.store, on_written=self._record_notices)
+        self.api_server = ApiServer(self.cluster.store, on_written=self._record_notices)
 
     async def listen(self) -> None:
         """Accept connections."""
-        await self.api.listen(*self.owner.plan.discovery_address(self.sidecar))
+        await self.api_server.listen(*self.owner.plan.discovery_address(self.sidecar))
 
     async def apply(self, step: Step, entry: dict[str, Any] | None) -> None:
         """Carry out one step of the fault schedule; `entry` is the changed converter if the step is a notification."""
         if step.action is FaultAction.NOTIFY and entry is not None:
             self.cluster.apply_change(entry, self._conflict_of(entry))
         elif step.action is FaultAction.MUTE:
-            self.api.faults.silent = True
+            self.api_server.faults.silent = True
         elif step.action is FaultAction.RESUME_UPDATES:
-            self.api.faults.silent = False
+            self.api_server.faults.silent = False
         elif step.action is FaultAction.DOWN:
-            self.api.close()
+            self.api_server.close()
         elif step.action is FaultAction.UP:
             self.cluster.store.compact()
-            if not self.api.is_listening:  # if two faults overlap, the end of the first has restarted it
+            if not self.api_server.is_listening:  # if two faults overlap, the end of the first has restarted it
                 await self.listen()
         elif step.action is FaultAction.BREAK_WATCHES:
-            self.api.end_connections()
-        self.api.on_change()
+            self.api_server.end_connections()
+        self.api_server.on_change()
 
     def _conflict_of(self, entry: dict[str, Any]) -> Conflict | None:
         """Return the contradiction for a drain, if any. It is the same for all sidecars, as they share one cluster."""
@@ -179,4 +179,4 @@
 
     def end_connections(self) -> None:
         """Reset all connections."""
-        self.api.end_connections()
+        self.api_server.end_connections()
--- a/ryepier/emulator/timeline.py
+++ b/ryepier/emulator/timeline.py
@@ -212,12 +212,12 @@
 
     def add_release(self, fault: Fault) -> None:
         """Replace the selected converters in turn: each drains, stops, and gets a new process with a new uid."""
-        selected = self.select_targets(TargetKind.CONVERTER, fault)
-        interval_us = to_us(fault.for_s) // max(1, len(selected))
-        for position, converter in enumerate(selected):
-            self.replace(converter, to_us(fault.at_s) + position * interval_us, fault)
+        selected_converters = self.select_targets(TargetKind.CONVERTER, fault)
+        interval_us = to_us(fault.for_s) // max(1, len(selected_converters))
+        for position, converter in enumerate(selected_converters):
+            self.replace_process(converter, to_us(fault.at_s) + position * interval_us, fault)
 
-    def replace(self, converter: int, at_us: int, fault: Fault) -> None:
+    def replace_process(self, converter: int, at_us: int, fault: Fault) -> None:
         """Replace a converter's process, unless an earlier release is still replacing it."""
         old_instance = self.instances_by_converter[converter][-1]
         if old_instance.start_us is not None and old_instance.start_us > at_us:
--- a/tests/test_emulated_converter_model.py
+++ b/tests/test_emulated_converter_model.py
@@ -71,7 +71,7 @@
     assert second_converter.on_request(5000, Work(3, "k", 1000, window_us=5000)) == [Started(3)]
 
 
-def test_a_key_whose_execution_was_lost_with_its_process_runs_again() -> None:
+def test_a_repeat_runs_if_the_first_execution_was_lost_with_its_process() -> None:
     cache = IdempotencyCache()
     first_converter, second_converter = make_model(cache), make_model(cache)
     first_converter.on_request(0, Work(1, "k", 1000, window_us=5000))
@@ -80,13 +80,13 @@
 
 
 def test_a_converter_that_warms_up_is_slower_and_crashes_under_overload() -> None:
-    warming_up, warm = make_model(started_us=0, queue_limit=99), make_model(queue_limit=99)
-    warming_up.on_request(0, Work(0, "", 1000))
-    assert warming_up.next_us == 4000  # 1000 us of work at a quarter of its capacity
-    has_crashed = [Crashed() in warming_up.on_request(1, Work(token, "", 100_000)) for token in range(1, 8)]
+    warming_up_model, warm_model = make_model(started_us=0, queue_limit=99), make_model(queue_limit=99)
+    warming_up_model.on_request(0, Work(0, "", 1000))
+    assert warming_up_model.next_us == 4000  # 1000 us of work at a quarter of its capacity
+    has_crashed = [Crashed() in warming_up_model.on_request(1, Work(token, "", 100_000)) for token in range(1, 8)]
     # the limit is 2 x 0.25 s of work within the window; the fifth of these requests brings the sum to 501 ms
     assert has_crashed.index(True) == 4
-    assert not any(Crashed() in warm.on_request(1, Work(token, "", 100_000)) for token in range(20))
+    assert not any(Crashed() in warm_model.on_request(1, Work(token, "", 100_000)) for token in range(20))
 
 
 def test_a_hang_leaves_the_remaining_service_times_unchanged() -> None:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -126,12 +126,12 @@
     return (head + (f"Idempotency-Key: {key}\r\n" if key else "") + "\r\nbody").encode()
 
 
-async def exchange(server: ConverterServer, data: bytes, wait_s: float = HANG_TIMEOUT_S) -> str:
+async def exchange(server: ConverterServer, data: bytes, timeout_s: float = HANG_TIMEOUT_S) -> str:
     """Send data, and return the status and body of the response, or a description of the failure such as "reset"."""
     address = server.owner.plan.converter_address(0)
     writer = None
     try:
-        async with asyncio.timeout(wait_s):
+        async with asyncio.timeout(timeout_s):
             reader, writer = await asyncio.open_connection(*address)
             writer.write(data)
             head, body = await read_message(reader)
@@ -210,9 +210,9 @@
     async def test() -> None:
         async with running_converter() as server:
             begin_fault(server, fault)
-            assert await exchange(server, request_bytes("1"), wait_s=0.3) == outcome
-            recorded = [attempt for attempt in recorded_attempts(server) if attempt.request_id == "1"]
-            assert [attempt.started_us >= 0 for attempt in recorded] == ([has_run] if is_recorded else [])
+            assert await exchange(server, request_bytes("1"), timeout_s=0.3) == outcome
+            fault_attempts = [attempt for attempt in recorded_attempts(server) if attempt.request_id == "1"]
+            assert [attempt.started_us >= 0 for attempt in fault_attempts] == ([has_run] if is_recorded else [])
             await server.end_fault()
             assert (await exchange(server, request_bytes("2"))).startswith("200")
 
@@ -238,7 +238,7 @@
 def test_closing_the_connection_does_not_stop_the_work() -> None:
     async def test() -> None:
         async with running_converter() as server:
-            assert await exchange(server, request_bytes("1", work_us=100_000), wait_s=0.03) == "nothing"
+            assert await exchange(server, request_bytes("1", work_us=100_000), timeout_s=0.03) == "nothing"
             await asyncio.sleep(0.2)
             [attempt] = recorded_attempts(server)
             assert attempt.outcome == "closed" and attempt.ended_us < attempt.finished_us
