--- a/ryepier/emulator/api_server.py
+++ b/ryepier/emulator/api_server.py
@@ -34,14 +34,14 @@
 
 @dataclass(slots=True)
 class ApiServerFaults:
-    """Faults of the server; each has an effect while its field is set."""
+    """Faults of the server. Each fault is active while its field is set."""
 
     silent: bool = False  # nothing is written, while the connections stay open
     retry_after_s: int | None = None  # requests are answered with 429 and this Retry-After
     truncates_watches: bool = False  # watches end in the middle of their first event
     max_write_bytes: int = 0  # 0 = no limit
     write_pause_s: float = 0.0  # pause after each write, if `max_write_bytes` is set
-    omits_bookmarks: bool = False
+    omits_bookmarks: bool = False  # watches receive no bookmarks
     rejects_tokens: bool = False  # every token is rejected
 
 
@@ -138,7 +138,7 @@
         except (asyncio.IncompleteReadError, asyncio.LimitOverrunError, ConnectionError, ssl.SSLError):
             pass
         except asyncio.CancelledError:
-            pass  # the event loop is ending; asyncio would log the cancellation as a failure
+            pass  # the event loop is closing; asyncio would log the cancellation as an error
         finally:
             self._writers.pop(writer, None)
             writer.close()
--- a/ryepier/emulator/clients.py
+++ b/ryepier/emulator/clients.py
@@ -32,7 +32,7 @@
 
 
 class ClientRole:
-    """The clients of one emulator process."""
+    """The clients that run in one emulator process."""
 
     def __init__(self, plan: Plan, clock: Clock, timeline: Timeline, simulated: bool = False) -> None:
         """Sample the arrivals. With `simulated`, this process runs all clients and sends no counts to a harness."""
--- a/ryepier/emulator/converter_model.py
+++ b/ryepier/emulator/converter_model.py
@@ -23,7 +23,7 @@
     """A request in the model. `token` is the caller's identifier of the request."""
 
     token: int
-    key: str  # idempotency key; empty = not deduplicated
+    key: str  # idempotency key; empty = the request is not deduplicated
     work_us: int  # service time on a standard core
     window_us: int = 0  # how long the pod deduplicates the key
 
@@ -116,7 +116,7 @@
         self.draining = self.crashed = self.hung = False
         self.slowdown = 1.0  # divides the speed
         self.queue: deque[Work] = deque()
-        self.running: list[tuple[int, int, Work]] = []  # heap of (done_us, number, work)
+        self.running: list[tuple[int, int, Work]] = []  # heap of (done_us, sequence number, work)
         self.started_count = 0
         self.overhead_us = 0  # work of handshakes and probes; added to the next request that starts
         # (at_us, work_us) received within the overload window; recorded only during warm-up
--- a/ryepier/emulator/converter_server.py
+++ b/ryepier/emulator/converter_server.py
@@ -32,7 +32,7 @@
 
 
 class ServerOwner(Protocol):
-    """The emulator process that a converter runs in."""
+    """The parts of an emulator process that its converters use."""
 
     plan: Plan
     clock: Clock
@@ -105,7 +105,7 @@
     # Faults
 
     def _check_partition(self, connection: ConverterConnection) -> bool:
-        """Return whether a zone partition drops the connection's request and response; if so, mark the connection."""
+        """Return whether a zone partition drops the attempt on a connection, and if so, mark the connection."""
         attempt = connection.attempt
         if attempt is None or not self._faults.affects(FaultKind.ZONE_CUT, attempt.request_id.encode("latin-1")):
             return False
--- a/ryepier/emulator/converters.py
+++ b/ryepier/emulator/converters.py
@@ -30,7 +30,7 @@
         ]
         indexes = {instance.index for instance in self.instances}
         self.steps = [step for step in timeline.steps if step.target is TargetKind.CONVERTER and step.index in indexes]
-        # a simulated listener can have a backlog of 0, which needs no fillers
+        # a simulated listener may have a backlog of 0, which needs no connections to fill it
         self.backlog_filler_count = 0 if simulated else BACKLOG_FILLER_COUNT
         self.servers: dict[int, ConverterServer] = {}  # by the instance's index
         self._caches: dict[int, IdempotencyCache] = {}  # by pod
--- a/ryepier/emulator/graphql.py
+++ b/ryepier/emulator/graphql.py
@@ -14,7 +14,7 @@
 
 PATH = "/graphql"
 GET_EVERY = 3  # queries whose number is a multiple of this are sent with GET
-# in mutations whose number is a multiple of this, a letter of the keyword is written as a JSON escape sequence,
+# in mutations whose number is a multiple of this, a letter of `mutation` is written as a JSON escape sequence,
 # which does not change the decoded text
 ESCAPED_EVERY = 7
 
--- a/ryepier/emulator/planner_processes.py
+++ b/ryepier/emulator/planner_processes.py
@@ -1,4 +1,4 @@
-"""The planners of a run as processes."""
+"""Runs the planners of a world as processes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class PlannerProcesses:
-    """All planners of a run."""
+    """The planners of a run. Each has a settings file, a log file and a folder of snapshots in `folder`."""
 
     def __init__(self, plan: Plan, folder: Path, command: Sequence[str], restart_command: Sequence[str]) -> None:
         """Prepare the planners without starting them. `restart_command` starts a planner again after a kill."""
--- a/ryepier/emulator/process.py
+++ b/ryepier/emulator/process.py
@@ -46,7 +46,7 @@
         return int((self.world.duration_s + max_deadline_ms / 1000 + LATE_RESPONSE_MARGIN_S) * 1e6)
 
     def converter_address(self, index: int) -> Address:
-        """Return the address of a converter's process."""
+        """Return the address of a converter process, given its index among all converter processes."""
         return self._host(index // HOSTS_PER_SUBNET, index), CONVERTER_PORT
 
     def discovery_address(self, sidecar: int) -> Address:
@@ -71,7 +71,7 @@
 
 
 class Clock:
-    """Measures the time since the run began, at `run_start_us` on the machine's monotonic clock, in microseconds."""
+    """Counts microseconds since the run began, which is at `run_start_us` on the machine's monotonic clock."""
 
     def __init__(self) -> None:
         """Start without an offset: the clock shows the machine's monotonic time until `run_start_us` is set."""
@@ -82,12 +82,12 @@
         return monotonic_us() - self.run_start_us
 
     def handle_at(self, at_us: int, callback: Callable[..., None], *args: object) -> asyncio.TimerHandle:
-        """Schedule a callback for a time since the run began, or immediately if that time has passed."""
+        """Schedule a callback for `at_us` after the beginning of the run; a time in the past means immediately."""
         loop = asyncio.get_running_loop()
         return loop.call_at((self.run_start_us + at_us) / 1e6, callback, *args)
 
     async def sleep_until(self, at_us: int) -> None:
-        """Wait until a time since the run began."""
+        """Wait until `at_us` after the beginning of the run."""
         await asyncio.sleep(max(0.0, (at_us - self.now_us()) / 1e6))
 
 
--- a/ryepier/emulator/records.py
+++ b/ryepier/emulator/records.py
@@ -47,7 +47,7 @@
     work_us: int
     planned_us: int  # when the first attempt was due according to the load schedule
     sent_us: int
-    deadline_us: int  # how long the client waits, from sent_us
+    deadline_us: int  # the client's timeout, counted from sent_us
     ended_us: int  # when the response's last byte was received or the client stopped waiting
     outcome: RequestOutcome
     status: int = 0  # HTTP status of the response; 0 = no response
--- a/ryepier/emulator/role.py
+++ b/ryepier/emulator/role.py
@@ -21,7 +21,7 @@
 
 
 class Role(Protocol):
-    """The part of the emulator that one process runs."""
+    """The part of the emulator that one process runs, such as its clients."""
 
     meter: LatenessMeter
 
--- a/ryepier/emulator/sidecar_processes.py
+++ b/ryepier/emulator/sidecar_processes.py
@@ -1,4 +1,4 @@
-"""The sidecars under test as processes: start, readiness, scheduled faults, resource usage, and stop."""
+"""Runs the sidecars under test as processes: start, readiness, scheduled faults, resource usage, and stop."""
 
 from __future__ import annotations
 
--- a/ryepier/emulator/simulated_processes.py
+++ b/ryepier/emulator/simulated_processes.py
@@ -27,7 +27,7 @@
     kind = ""  # "sidecar" or "planner", used in process names
 
     def __init__(self, loop: SimLoop, index: int) -> None:
-        """Prepare the process; `start` starts it."""
+        """Prepare without a process; `start` starts the first one."""
         self.loop = loop
         self.index = index
         self.stop_event = asyncio.Event()  # ends the current process
--- a/ryepier/emulator/timeline.py
+++ b/ryepier/emulator/timeline.py
@@ -1,4 +1,4 @@
-"""The fault schedule: the steps of a world's faults, and all converter processes, also those that steps start.
+"""The fault schedule: the steps of a world's faults, and all converter processes, including replacements.
 
 This module is pure. The schedule depends only on the world and the seed, so every process of the emulator computes it
 for itself and carries out its own steps. Times are microseconds since the run began.
@@ -23,7 +23,7 @@
     START = "start"  # converter: start the process, warming up
     KILL = "kill"  # sidecar or planner: SIGKILL
     RESTART = "restart"  # sidecar or planner: start it again
-    SUSPEND = "stall"  # sidecar or planner: SIGSTOP, with its connections open
+    SUSPEND = "stall"  # sidecar or planner: SIGSTOP; its connections stay open
     RESUME = "resume"  # sidecar or planner: SIGCONT
     SHIFT_WALL_CLOCK = "jump"  # sidecar: shift the wall clock forward or back
     SET_CLOCK_RATE = "drift"  # sidecar: let its clocks run faster or slower
@@ -60,17 +60,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One action of the schedule, on the target of kind `target` with this index."""
+    """One action of the schedule. Its target is identified by the kind `target` and an index."""
 
     at_us: int
     target: TargetKind
     index: int
     action: FaultAction
     fault: FaultKind | None = None  # the fault that the step belongs to
-    factor: float = 1.0  # the fault's factor; for SHIFT_WALL_CLOCK, the shift in seconds
+    factor: float = 1.0  # `Fault.factor`; for SHIFT_WALL_CLOCK, the shift in seconds
     share: float = 1.0  # share of requests that the fault affects
     uid: str = ""
-    state: ListState | None = None  # NOTIFY: the new state of the converter `uid`
+    state: ListState | None = None  # for NOTIFY, the new state of the converter `uid`
     via: frozenset[int] | None = None  # the fault affects only requests from these sidecars; None = from all sidecars
 
 
@@ -117,7 +117,7 @@
 
 
 def to_us(seconds: float) -> int:
-    """Return seconds in whole microseconds."""
+    """Convert seconds to whole microseconds."""
     return round(seconds * 1e6)
 
 
--- a/ryepier/emulator/world.py
+++ b/ryepier/emulator/world.py
@@ -121,7 +121,7 @@
     idle_close_s: Positive = 5.0
 
     def __post_init__(self) -> None:
-        """Raise ValueError for values that contradict each other."""
+        """Raise ValueError if a value is out of range or contradicts another."""
         _check_range("speed", self.speed, must_be_positive=True)
 
 
@@ -142,7 +142,7 @@
     refresh_ms: Range = (15.0, 110.0)
 
     def __post_init__(self) -> None:
-        """Raise ValueError for values that contradict each other."""
+        """Raise ValueError if a value is out of range or contradicts another."""
         _check_range("refresh_ms", self.refresh_ms, must_be_positive=True)
 
 
@@ -162,7 +162,7 @@
     idempotency_window_ms: NonNegative = msgspec.field(name="memory_ms", default=0.0)
 
     def __post_init__(self) -> None:
-        """Raise ValueError for values that contradict each other."""
+        """Raise ValueError if a value is out of range or contradicts another."""
         _check_range("work_ms", self.work_ms, must_be_positive=True)
         if self.deadline_ms < self.objective_ms:
             raise ValueError("deadline_ms: expected at least aim_ms")
@@ -200,7 +200,7 @@
     disconnect_share: Share = msgspec.field(name="leaves", default=0.0)
 
     def __post_init__(self) -> None:
-        """Raise ValueError for values that contradict each other."""
+        """Raise ValueError if a value is out of range or contradicts another."""
         _check_range("patience", self.timeout_share, must_be_positive=True)
         if self.timeout_share[1] > 1.0:
             raise ValueError("patience: expected at most 1")
@@ -223,7 +223,7 @@
     max_attempts: Annotated[int, msgspec.Meta(ge=1)] = 4
     dial_timeout_ms: Positive = 62.0
     max_retry_after_ms: NonNegative = 500.0
-    storm_guard: bool = msgspec.field(name="storm", default=False)  # run with the guard against retry storms
+    storm_guard: bool = msgspec.field(name="storm", default=False)  # sidecars run with protection from retry storms
     drain_grace_ms: Positive = 500.0
 
 
@@ -233,13 +233,13 @@
     # delay of a notice, sampled for each sidecar and change
     notice_delay_ms: Range = msgspec.field(name="late_ms", default=(100.0, 1500.0))
     heartbeat_s: Positive = 2.0
-    # endpoints per EndpointSlice, with an API server for each sidecar; 0 = the platform's discovery agents
+    # endpoints per EndpointSlice; each sidecar then has an API server. 0 = the platform's discovery agents are used
     slice_size: Annotated[int, msgspec.Meta(ge=0, le=1000)] = 0
     conflict_share: Share = msgspec.field(name="mess", default=0.0)  # share of drains with contradictory slices
     watch_s: Annotated[int, msgspec.Meta(ge=5)] = 60  # with slices: the duration that sidecars request for a watch
 
     def __post_init__(self) -> None:
-        """Raise ValueError for values that contradict each other."""
+        """Raise ValueError if a value is out of range or contradicts another."""
         _check_range("late_ms", self.notice_delay_ms)
 
 
@@ -259,7 +259,7 @@
     for_s: NonNegative = 0.0
     # share of the targets that the fault affects; at least one is affected
     target_share: Annotated[float, msgspec.Meta(gt=0, le=1)] = msgspec.field(name="part", default=1.0)
-    factor: Positive = 1.0  # multiplies the rate or the work, or divides a slow converter's speed
+    factor: Positive = 1.0  # multiplies the arrival rate or the work, or divides a slow converter's speed
     share: Share = 1.0  # share of requests that the fault affects
     tenant: str = ""
     request_class: str = ""
@@ -268,7 +268,7 @@
     # release: time between the end of a process and the start of its replacement; kill: time until the restart
     down_s: NonNegative = 0.5
     index: Annotated[int, msgspec.Meta(ge=0)] | None = None  # the only target; None = sampled targets
-    via: Annotated[int, msgspec.Meta(ge=0)] | None = None  # turn-away: only requests from this sidecar
+    via: Annotated[int, msgspec.Meta(ge=0)] | None = None  # turn-away: only requests from this sidecar are affected
     jump_s: float = 0.0  # clock-jump: change of a sidecar's wall clock
 
 
@@ -298,7 +298,7 @@
     harness: HarnessSettings = msgspec.field(name="rig", default_factory=HarnessSettings)
 
     def __post_init__(self) -> None:
-        """Raise ValueError for values that contradict each other."""
+        """Raise ValueError if a value is out of range or contradicts another."""
         for entries in (self.converters, self.classes, self.tenants):
             if not entries:
                 raise ValueError("expected at least one converter group, one class and one tenant")
