--- a/ryepier/emulator/client_messages.py
+++ b/ryepier/emulator/client_messages.py
@@ -27,18 +27,18 @@
     """Encodes the requests and decodes the responses of a world's clients."""
 
     def __init__(self, world: World, arrivals: Arrivals) -> None:
-        """Prepare for the clients of `world`; the cost hints of their requests come from `arrivals`."""
+        """Encode requests of the clients of `world`, with the cost hints from `arrivals`."""
         self.world = world
         self.arrivals = arrivals
 
     def decode_response(self, data: bytes) -> ResponseBody:
-        """Return the body of a successful response. Raises msgspec.DecodeError."""
+        """Return the body of a successful response. Raises msgspec.DecodeError if it is malformed."""
         if self.world.clients.speak_graphql:
             return msgspec.json.decode(data, type=GraphqlResponseBody).extensions
         return msgspec.json.decode(data, type=ResponseBody)
 
     def encode_request(self, attempt: ClientAttempt, host: bytes, now_us: int) -> bytes:
-        """Return the bytes of a request; its deadline header is the time that remains at `now_us`."""
+        """Return the bytes of a request. Its deadline header holds the time that remains at `now_us`."""
         remaining_ms = max(1, (attempt.sent_us + attempt.deadline_us - now_us) // 1000)
         if self.world.clients.speak_graphql:
             return self._encode_graphql(attempt, host, remaining_ms)
@@ -53,7 +53,7 @@
             b"Host: " + host,
             b"X-Request-Id: " + attempt.request_id.encode(),
             b"X-Class: " + class_name,
-            b"X-Tenant: " + self._tenant(attempt),
+            b"X-Tenant: " + self._tenant_name(attempt),
             b"X-Deadline-Ms: %d" % remaining_ms,
             b"X-Work-Us: %d" % attempt.work_us,
         ]
@@ -67,7 +67,7 @@
         body = b"" if is_idempotent else b"file=%d" % attempt.arrival
         if body:
             headers.append(b"Content-Length: %d" % len(body))
-        return _join(headers, body)
+        return _join_message(headers, body)
 
     def _encode_graphql(self, attempt: ClientAttempt, host: bytes, remaining_ms: int) -> bytes:
         request = graphql.make_request(
@@ -82,16 +82,16 @@
             b"Host: " + host,
             b"X-Request-Id: " + attempt.request_id.encode(),
             b"X-Deadline-Ms: %d" % remaining_ms,
-            b"X-Tenant: " + self._tenant(attempt),
+            b"X-Tenant: " + self._tenant_name(attempt),
             b"X-Work-Us: %d" % attempt.work_us,
         ]
         if request.body:
             headers += [b"Content-Type: application/json", b"Content-Length: %d" % len(request.body)]
-        return _join(headers, request.body)
+        return _join_message(headers, request.body)
 
-    def _tenant(self, attempt: ClientAttempt) -> bytes:
+    def _tenant_name(self, attempt: ClientAttempt) -> bytes:
         return self.world.tenants[attempt.tenant].name.encode()
 
 
-def _join(headers: list[bytes], body: bytes) -> bytes:
+def _join_message(headers: list[bytes], body: bytes) -> bytes:
     return b"\r\n".join(headers) + b"\r\n\r\n" + body
--- a/ryepier/emulator/converters.py
+++ b/ryepier/emulator/converters.py
@@ -1,4 +1,4 @@
-"""Emulated converters: many in one process, each on its own address, with a record of every attempt."""
+"""Emulated converters: many in one process, each on its own address. Every attempt is recorded."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ryepier.emulator.records import RecordedEvent, RoleRecords
 from ryepier.emulator.timeline import FaultAction, Instance, TargetKind, Timeline
 
-BACKLOG_FILLERS = 4  # connections that fill the backlog of a listener, so that no further one is established
+BACKLOG_FILLER_COUNT = 4  # connections that fill the backlog of a listener, which blocks new connections
 IDLE_CHECK_S = 0.25
 
 
@@ -19,7 +19,7 @@
     """The converters of one emulator process; all converters of a pod are in the same process."""
 
     def __init__(self, plan: Plan, clock: Clock, timeline: Timeline, simulated: bool = False) -> None:
-        """Select this process's converters; a simulation has all of them in one process."""
+        """Select the converters of this process by their pod. With `simulated`, this process runs all converters."""
         self.plan = plan
         self.clock = clock
         self.records = RoleRecords(f"converters {plan.index}")
@@ -30,10 +30,11 @@
         ]
         indexes = {instance.index for instance in self.instances}
         self.steps = [step for step in timeline.steps if step.target is TargetKind.CONVERTER and step.index in indexes]
-        self.backlog_fillers = 0 if simulated else BACKLOG_FILLERS  # a simulated listener may have a backlog of 0
+        # a simulated listener may have a backlog of 0, which needs no connections to fill it
+        self.backlog_filler_count = 0 if simulated else BACKLOG_FILLER_COUNT
         self.servers: dict[int, ConverterServer] = {}  # by the instance's index
         self._caches: dict[int, IdempotencyCache] = {}  # by pod
-        self._sidecar_by_arrival: list[int] = []  # computed at the first use
+        self._sidecar_by_arrival: list[int] = []  # computed on first use
 
     def sidecar_of(self, request_id: bytes) -> int:
         """Return the sidecar that a client sent the request to."""
@@ -42,7 +43,7 @@
         return self._sidecar_by_arrival[int(request_id.split(b"-")[1], 16)]
 
     def record_event(self, text: str) -> None:
-        """Record an event at the present time."""
+        """Record an event at the current time."""
         self.records.events.append(RecordedEvent(self.clock.now_us(), text))
 
     async def start(self) -> None:
@@ -59,7 +60,7 @@
 
     async def run(self) -> RoleRecords:
         """Carry out the schedule's steps until the run ends, and return the records."""
-        idle_check = asyncio.create_task(self._close_idle_connections())
+        idle_check_task = asyncio.create_task(self._close_idle_connections())
         instances_by_index = {instance.index: instance for instance in self.instances}
         for step in self.steps:
             await self.clock.sleep_until(step.at_us)
@@ -70,7 +71,7 @@
                 await self.servers[step.index].apply(step)
             self.record_event(f"{instances_by_index[step.index].uid}: {step.fault} {step.action.value}")
         await self.clock.sleep_until(self.plan.end_us)
-        idle_check.cancel()
+        idle_check_task.cancel()
         for server in self.servers.values():
             server.stop()
         return self.records
@@ -81,8 +82,8 @@
             for server in self.servers.values():
                 server.close_idle_connections(self.clock.now_us())
 
-    def answer_released(self, cache: IdempotencyCache) -> None:
-        """Answer the repeats that waited for a request at another converter of their pod."""
+    def answer_released_repeats(self, cache: IdempotencyCache) -> None:
+        """Answer the repeats whose first request has finished at another converter of their pod."""
         while cache.released_repeats:
             model, token = cache.released_repeats.pop()
             for server in self.servers.values():
--- a/ryepier/emulator/harness.py
+++ b/ryepier/emulator/harness.py
@@ -1,4 +1,4 @@
-"""Runs a world on real sockets: starts the emulator's processes, sidecars and planners, and collects the records."""
+"""Runs a world on real sockets: starts emulator processes, sidecars and planners, and collects their records."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 ROLE_MODULE = "ryepier.emulator.role"
 SETTINGS_FILE = "operators.toml"  # the settings that the sidecars share
 MAX_SIDECARS = 200
-BEGIN_DELAY_S = 0.5  # from announcing the beginning of the run to the beginning itself
+BEGIN_DELAY_S = 0.5  # the run begins this long after its beginning is announced
 
 ProgressCallback = Callable[[float, Counter[str]], None]
-"""Called with the seconds since the beginning of the run and the clients' counts so far."""
+"""Called with the time since the beginning of the run, in seconds, and the clients' counts so far."""
 
 
 @dataclass(slots=True)
@@ -41,23 +41,24 @@
 
     name: str
     process: asyncio.subprocess.Process
-    records: Path
+    records_path: Path
 
 
 @dataclass(frozen=True, slots=True)
 class RoleAssignment:
-    """The processes that take part in a run, and how they are started; by default all that the world describes."""
+    """The processes that take part in a run, and their commands. By default, all of the world's processes take part."""
 
-    # None: the sidecar or the forwarder, whichever the world needs; empty: only write the configurations, because
-    # another program starts the sidecars
+    # None: the command of the sidecar or the forwarder, depending on the world; empty: no sidecars are started, only
+    # their configurations are written, because another program starts them
     sidecar_command: Sequence[str] | None = None
-    sidecar_overrides: Mapping[int, Sequence[str]] = field(default_factory=dict)  # commands of single sidecars
+    # commands of single sidecars, by index
+    sidecar_overrides: Mapping[int, Sequence[str]] = field(default_factory=dict)
     planner_command: Sequence[str] = PLANNER_COMMAND
-    planner_restart_command: Sequence[str] = PLANNER_COMMAND  # restarts a planner that was killed
-    clients: bool = True
-    converters_and_discovery: bool = True
+    planner_restart_command: Sequence[str] = PLANNER_COMMAND  # used when a killed planner is restarted
+    clients: bool = True  # whether the harness starts clients
+    converters_and_discovery: bool = True  # whether the harness starts converters and discovery
     targets: Sequence[Address] = ()  # addresses that clients send to instead of the world's sidecars
-    role_module: str = ROLE_MODULE  # the program of the emulator's own processes
+    role_module: str = ROLE_MODULE  # the module that the emulator's own processes run
 
 
 def _check_supported(world: World) -> None:
@@ -95,7 +96,7 @@
             self.plan, folder, self.roles.planner_command, self.roles.planner_restart_command
         )
         self._processes: list[RoleProcess] = []
-        self._counts: dict[str, Counter[str]] = {}  # by process
+        self._counts_by_process: dict[str, Counter[str]] = {}  # the clients' counts
 
     def _make_sidecars(self) -> SidecarProcesses:
         has_settings = files.has_settings_file(self.world)
@@ -107,9 +108,9 @@
         return SidecarProcesses(self.plan, (*command, *arguments) if command else (), overrides)
 
     async def run(self) -> History:
-        """Run the world; no process outlives the call. Raises HarnessError if the emulator failed."""
+        """Run the world, and end all processes before returning. Raises HarnessError if the emulator failed."""
         self.folder.mkdir(parents=True, exist_ok=True)
-        for old_log in self.folder.glob("*.log"):  # of an earlier run
+        for old_log in self.folder.glob("*.log"):  # logs of an earlier run
             old_log.unlink()
         try:
             await self._start()
@@ -131,14 +132,14 @@
         await self.sidecars.start_all()
 
     def _roles_to_start(self) -> list[tuple[str, int]]:
-        """Return the role and index of each process of the emulator."""
-        settings, roles = self.world.harness, list[tuple[str, int]]()
+        """Return the role and index of each emulator process to start."""
+        settings, roles_to_start = self.world.harness, list[tuple[str, int]]()
         if self.roles.converters_and_discovery:
-            roles += [("discovery", 0)] if self.world.sidecars.count else []
-            roles += [("converters", index) for index in range(settings.converter_processes)]
+            roles_to_start += [("discovery", 0)] if self.world.sidecars.count else []
+            roles_to_start += [("converters", index) for index in range(settings.converter_processes)]
         if self.roles.clients:
-            roles += [("clients", index) for index in range(settings.client_processes)]
-        return roles
+            roles_to_start += [("clients", index) for index in range(settings.client_processes)]
+        return roles_to_start
 
     async def _start_processes(self) -> None:
         """Start the emulator's processes, and wait until they are ready. Raises HarnessError."""
@@ -154,17 +155,17 @@
         plan = msgspec.structs.replace(self.plan, role=role, index=index)
         path = self.folder / f"{role}-{index}.json"
         path.write_bytes(msgspec.json.encode(plan))
-        records = self.folder / f"{role}-{index}.records"
-        records.unlink(missing_ok=True)  # of an earlier run
+        records_path = self.folder / f"{role}-{index}.records"
+        records_path.unlink(missing_ok=True)  # delete the records of an earlier run
         process = await asyncio.create_subprocess_exec(
             *PYTHON_COMMAND,
             self.roles.role_module,
             str(path),
-            str(records),
+            str(records_path),
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
         )
-        return RoleProcess(f"{role} {index}", process, records)
+        return RoleProcess(f"{role} {index}", process, records_path)
 
     def start_planners(self) -> None:
         """Start the planners, after the emulator's processes and before the sidecars."""
@@ -181,29 +182,29 @@
 
     async def _run(self) -> None:
         """Carry out the schedule until the emulator's processes have ended."""
-        async with asyncio.TaskGroup() as group:
+        async with asyncio.TaskGroup() as task_group:
             for role_process in self._processes:
-                group.create_task(self._read_counts(role_process))
-            background = [
-                group.create_task(self.sidecars.sample_usage()),
-                group.create_task(self.sidecars.watch_cpu_waits()),
+                task_group.create_task(self._read_counts(role_process))
+            background_tasks = [
+                task_group.create_task(self.sidecars.sample_usage()),
+                task_group.create_task(self.sidecars.watch_cpu_waits()),
             ]
-            group.create_task(self.run_schedule())
+            task_group.create_task(self.run_schedule())
             await asyncio.gather(*(role_process.process.wait() for role_process in self._processes))
-            for task in background:
+            for task in background_tasks:
                 task.cancel()
 
     async def _read_counts(self, role_process: RoleProcess) -> None:
         """Read the clients' counts from a process, and pass the sums to `on_progress`."""
         assert role_process.process.stdout is not None
         while line := await role_process.process.stdout.readline():
-            self._counts[role_process.name] = Counter(msgspec.json.decode(line, type=dict[str, int]))
+            self._counts_by_process[role_process.name] = Counter(msgspec.json.decode(line, type=dict[str, int]))
             if self.on_progress is not None:
-                self.on_progress(self.clock.now_us() / 1e6, sum(self._counts.values(), Counter()))
+                self.on_progress(self.clock.now_us() / 1e6, sum(self._counts_by_process.values(), Counter()))
 
     async def run_schedule(self) -> None:
-        """Carry out the steps on sidecars and planners; restarts of sidecars take place in parallel."""
-        async with asyncio.TaskGroup() as restarts:
+        """Carry out the scheduled steps on sidecars and planners. Sidecars are restarted in parallel."""
+        async with asyncio.TaskGroup() as restart_tasks:
             for step in self.timeline.steps:
                 if step.target not in (TargetKind.SIDECAR, TargetKind.PLANNER):
                     continue
@@ -213,7 +214,7 @@
                 if step.target is TargetKind.PLANNER:
                     self.planners.apply(step)
                 else:
-                    self.sidecars.apply(step.index, step.action, restarts)
+                    self.sidecars.apply(step.index, step.action, restart_tasks)
 
     # Stop and results
 
@@ -229,12 +230,12 @@
     def _history(self) -> History:
         records = []
         for role_process in self._processes:
-            if role_process.process.returncode != 0 or not role_process.records.exists():
+            if role_process.process.returncode != 0 or not role_process.records_path.exists():
                 raise HarnessError(
                     f"emulator process {role_process.name} failed or wrote no records: "
                     f"exit status {role_process.process.returncode}"
                 )
-            records.append(msgspec.msgpack.decode(role_process.records.read_bytes(), type=RoleRecords))
+            records.append(msgspec.msgpack.decode(role_process.records_path.read_bytes(), type=RoleRecords))
         return join(records, self.sidecars.incarnations(self.clock.run_start_us), self.events)
 
 
--- a/ryepier/emulator/planner_processes.py
+++ b/ryepier/emulator/planner_processes.py
@@ -1,4 +1,4 @@
-"""The planners of a run as processes."""
+"""Runs the planners of a world as processes."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class PlannerProcesses:
-    """All planners of a run."""
+    """The planners of a run. Each has a settings file, a log file and a folder of snapshots in `folder`."""
 
     def __init__(self, plan: Plan, folder: Path, command: Sequence[str], restart_command: Sequence[str]) -> None:
-        """Prepare without starting any. `command` starts a planner, `restart_command` starts it again after a kill."""
+        """Prepare the planners without starting them. `restart_command` starts a planner again after a kill."""
         self.plan = plan
         self.folder = folder
         self.command = command
@@ -25,13 +25,13 @@
         self._processes: list[subprocess.Popen[bytes]] = []
 
     def start_all(self) -> None:
-        """Write the planners' settings and start them, without snapshots of earlier runs."""
+        """Delete the snapshots of earlier runs, write the planners' settings, and start the planners."""
         settings = self.plan.world.planners
         for index in range(settings.count):
-            snapshots = self.folder / f"planner-{index}"
-            shutil.rmtree(snapshots, ignore_errors=True)
-            snapshots.mkdir()
-            text = files.planner_settings_text(self.plan, index, snapshots if settings.snapshots else None)
+            snapshots_folder = self.folder / f"planner-{index}"
+            shutil.rmtree(snapshots_folder, ignore_errors=True)
+            snapshots_folder.mkdir()
+            text = files.planner_settings_text(self.plan, index, snapshots_folder if settings.snapshots else None)
             self._settings_path(index).write_text(text)
             self._processes.append(self._start(index, self.command))
 
@@ -44,7 +44,7 @@
             return subprocess.Popen(arguments, stdout=log, stderr=log)
 
     def apply(self, step: Step) -> None:
-        """Carry out one step of the schedule."""
+        """Carry out one step of the fault schedule."""
         process = self._processes[step.index]
         if step.action is FaultAction.KILL:
             process.kill()
--- a/ryepier/emulator/timeline.py
+++ b/ryepier/emulator/timeline.py
@@ -1,4 +1,4 @@
-"""The fault schedule: the steps of a world's faults, and the converter processes, including those that steps start.
+"""The fault schedule: the steps of a world's faults, and all converter processes, including replacements.
 
 This module is pure. The schedule depends only on the world and the seed, so every process of the emulator computes it
 for itself and carries out its own steps. Times are microseconds since the run began.
@@ -23,13 +23,13 @@
     START = "start"  # converter: start the process, warming up
     KILL = "kill"  # sidecar or planner: SIGKILL
     RESTART = "restart"  # sidecar or planner: start it again
-    SUSPEND = "stall"  # sidecar or planner: SIGSTOP, with its connections open
+    SUSPEND = "stall"  # sidecar or planner: SIGSTOP; its connections stay open
     RESUME = "resume"  # sidecar or planner: SIGCONT
     SHIFT_WALL_CLOCK = "jump"  # sidecar: shift the wall clock forward or back
     SET_CLOCK_RATE = "drift"  # sidecar: let its clocks run faster or slower
-    NOTIFY = "tell"  # discovery: write a change to the sidecar's watch
+    NOTIFY = "tell"  # discovery: send a change to the sidecar
     MUTE = "silence"  # discovery: write nothing, not even heartbeats
-    FREEZE_LIST = "hold"  # discovery: hold changes back, and otherwise behave normally
+    FREEZE_LIST = "hold"  # discovery: hold back changes, and otherwise behave normally
     RESUME_UPDATES = "speak"  # discovery: write the changes that were held back
     DOWN = "down"  # discovery: end the open connections and refuse new ones
     UP = "up"  # discovery: accept connections again
@@ -46,7 +46,7 @@
 
 
 class ListState(enum.StrEnum):
-    """A converter's state in the endpoint list; a converter never returns to an earlier one."""
+    """A converter's state in the endpoint list. A converter never returns to an earlier state."""
 
     ACTIVE = "active"
     LEAVING = "leaving"  # draining
@@ -60,25 +60,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One action of the schedule on the target of this kind and index."""
+    """One action of the schedule. Its target is identified by the kind `target` and an index."""
 
     at_us: int
     target: TargetKind
     index: int
     action: FaultAction
     fault: FaultKind | None = None  # the fault that the step belongs to
-    factor: float = 1.0  # SHIFT_WALL_CLOCK: seconds
-    share: float = 1.0
+    factor: float = 1.0  # `Fault.factor`; for SHIFT_WALL_CLOCK, the shift in seconds
+    share: float = 1.0  # share of requests that the fault affects
     uid: str = ""
-    state: ListState | None = None  # NOTIFY: the uid's new state
-    via: frozenset[int] | None = None  # only requests from these sidecars; None = from all
+    state: ListState | None = None  # for NOTIFY, the new state of the converter `uid`
+    via: frozenset[int] | None = None  # the fault affects only requests from these sidecars; None = from all sidecars
 
 
 @dataclass(frozen=True, slots=True)
 class Instance:
     """One process of a converter, with a uid and an address of its own."""
 
-    index: int  # among all instances of the run
+    index: int  # position among all instances of the run
     uid: str
     machine: draws.Machine
     start_us: int | None  # None: already running and warm when the run begins
@@ -113,16 +113,16 @@
     FaultKind.DISCOVERY_STALE: (TargetKind.DISCOVERY, FaultAction.FREEZE_LIST, FaultAction.RESUME_UPDATES),
     FaultKind.WATCH_BREAK: (TargetKind.DISCOVERY, FaultAction.BREAK_WATCHES, None),
 }
-"""Faults with one action at their beginning and at most one at their end, as (target, first action, last action)."""
+"""Faults with one action at the beginning and at most one at the end, as (target, first action, last action)."""
 
 
 def to_us(seconds: float) -> int:
-    """Return seconds in whole microseconds."""
+    """Convert seconds to whole microseconds."""
     return round(seconds * 1e6)
 
 
 class _Builder:
-    """Expands a world's faults in the order in which they begin, which is also the order of the random draws."""
+    """Expands a world's faults into steps. Faults are expanded, and random samples taken, in the order of `at_s`."""
 
     def __init__(self, world: World, seed: int) -> None:
         self.world = world
@@ -132,7 +132,7 @@
         self.instances = [
             Instance(machine.index, f"c-{machine.index:04x}", machine, None) for machine in draws.machines(world, seed)
         ]
-        # each converter's processes in the order of their starts
+        # for each converter, its processes in the order in which they start
         self.instances_by_converter = [[instance] for instance in self.instances]
 
     def build(self) -> Timeline:
@@ -142,7 +142,7 @@
         return Timeline(self.instances, self.steps)
 
     def add_fault(self, fault: Fault) -> None:
-        """Add a fault's steps; surges and heavy tails have none, as they are part of the sampled arrivals."""
+        """Add a fault's steps. Surges, heavy tails and hot sidecars have none: they affect the sampled arrivals."""
         if fault.kind in CONVERTER_FAULTS:
             self.add_converter_fault(fault)
         elif fault.kind in INTERVAL_FAULTS:
@@ -164,7 +164,7 @@
         via = None if fault.via is None else frozenset((fault.via,))
         self.steps.append(Step(at_us, target, index, action, fault.kind, fault.factor, fault.share, uid, via=via))
 
-    def count(self, target: TargetKind) -> int:
+    def target_count(self, target: TargetKind) -> int:
         """Return the number of targets of a kind; each sidecar has its own discovery agent."""
         if target is TargetKind.CONVERTER:
             return self.world.converter_count
@@ -174,25 +174,25 @@
             return max(1, self.world.sidecars.count)
         return self.world.sidecars.count
 
-    def select(self, target: TargetKind, fault: Fault) -> list[int]:
+    def select_targets(self, target: TargetKind, fault: Fault) -> list[int]:
         """Return the indexes of the targets that a fault affects."""
-        return draws.select_targets(self.count(target), fault, self.random)
+        return draws.select_targets(self.target_count(target), fault, self.random)
 
     def add_interval_fault(self, fault: Fault, target: TargetKind, begin: FaultAction, end: FaultAction | None) -> None:
-        for index in self.select(target, fault):
+        for index in self.select_targets(target, fault):
             self.add_step(to_us(fault.at_s), target, index, begin, fault)
             if end is not None:
                 self.add_step(to_us(fault.at_s + fault.for_s), target, index, end, fault)
 
     def add_converter_fault(self, fault: Fault) -> None:
         """Add steps for the processes that the selected converters have when the fault begins."""
-        for converter in self.select(TargetKind.CONVERTER, fault):
+        for converter in self.select_targets(TargetKind.CONVERTER, fault):
             index = self.instance_at(converter, to_us(fault.at_s)).index
             self.add_step(to_us(fault.at_s), TargetKind.CONVERTER, index, FaultAction.BEGIN, fault)
             self.add_step(to_us(fault.at_s + fault.for_s), TargetKind.CONVERTER, index, FaultAction.END, fault)
 
     def add_zone_partition(self, fault: Fault) -> None:
-        """Partition the converters and sidecars of one zone from those of the others."""
+        """Partition the converters and sidecars of one zone from those of the other zones."""
         zones, sidecars = self.world.zones, range(self.world.sidecars.count)
         sidecars_inside = frozenset(index for index in sidecars if zones[self.world.sidecar_zone(index)] == fault.zone)
         sidecars_outside = frozenset(sidecars) - sidecars_inside
@@ -212,12 +212,12 @@
 
     def add_release(self, fault: Fault) -> None:
         """Replace the selected converters in turn: each drains, stops, and gets a new process with a new uid."""
-        selected = self.select(TargetKind.CONVERTER, fault)
-        interval_us = to_us(fault.for_s) // max(1, len(selected))
-        for position, converter in enumerate(selected):
-            self.replace(converter, to_us(fault.at_s) + position * interval_us, fault)
+        selected_converters = self.select_targets(TargetKind.CONVERTER, fault)
+        interval_us = to_us(fault.for_s) // max(1, len(selected_converters))
+        for position, converter in enumerate(selected_converters):
+            self.replace_process(converter, to_us(fault.at_s) + position * interval_us, fault)
 
-    def replace(self, converter: int, at_us: int, fault: Fault) -> None:
+    def replace_process(self, converter: int, at_us: int, fault: Fault) -> None:
         """Replace a converter's process, unless an earlier release is still replacing it."""
         old_instance = self.instances_by_converter[converter][-1]
         if old_instance.start_us is not None and old_instance.start_us > at_us:
@@ -235,7 +235,7 @@
         self.add_notices(fault, new_instance, ListState.ACTIVE, start_us)
 
     def add_notices(self, fault: Fault, instance: Instance, state: ListState, changed_us: int) -> None:
-        """Notify each sidecar's agent of a change after a delay of its own."""
+        """Add the steps that notify each sidecar's agent of a change, each after its own sampled delay."""
         for sidecar in range(self.world.sidecars.count):
             delay_us = int(self.notice_random.uniform(*self.world.discovery.notice_delay_ms) * 1000)
             self.steps.append(
@@ -251,12 +251,12 @@
             )
 
     def add_kill(self, fault: Fault, target: TargetKind) -> None:
-        for index in self.select(target, fault):
+        for index in self.select_targets(target, fault):
             self.add_step(to_us(fault.at_s), target, index, FaultAction.KILL, fault)
             self.add_step(to_us(fault.at_s + fault.down_s), target, index, FaultAction.RESTART, fault)
 
     def add_clock_jump(self, fault: Fault) -> None:
-        for index in self.select(TargetKind.SIDECAR, fault):
+        for index in self.select_targets(TargetKind.SIDECAR, fault):
             self.steps.append(
                 Step(
                     to_us(fault.at_s), TargetKind.SIDECAR, index, FaultAction.SHIFT_WALL_CLOCK, fault.kind, fault.jump_s
--- a/tests/test_emulated_clients.py
+++ b/tests/test_emulated_clients.py
@@ -1,4 +1,4 @@
-"""Emulated clients on real sockets, also when their own process is delayed."""
+"""Emulated clients on real sockets, including delays of the client process itself."""
 
 from __future__ import annotations
 
@@ -33,20 +33,20 @@
 
 
 def make_attempt(sent_us: int = NEVER) -> ClientAttempt:
-    """Return a first attempt of the class whose requests must not run twice."""
+    """Return a first attempt of the class whose requests may run at most once."""
     return ClientAttempt(
         0, 0, "0001-000000-0", "", 1, 0, 0, 1000, 0, sent_us, int(DEADLINE_S * 1e6), NEVER, RequestOutcome.TIMEOUT
     )
 
 
-def test_a_sent_request_is_not_unreachable_when_its_timeout_expires_while_it_connects(
+def test_a_sent_request_is_not_recorded_as_unreachable_when_its_timeout_expires_while_it_connects(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    connect = asyncio.SelectorEventLoop.sock_connect
+    original_connect = asyncio.SelectorEventLoop.sock_connect
 
     async def connect_slowly(loop: asyncio.SelectorEventLoop, sock: socket.socket, address: Any) -> None:
-        await connect(loop, sock, address)
-        time.sleep(DEADLINE_S + 0.1)  # blocks the process, so that the timeout is due in the next loop iteration
+        await original_connect(loop, sock, address)
+        time.sleep(DEADLINE_S + 0.1)  # blocks the event loop, so that the timeout is due in its next iteration
 
     async def test() -> None:
         upstream = Upstream(respond_in_turn(OK))
@@ -100,7 +100,7 @@
     assert incarnation.cpu_waits == [(2_000_000 - 2 * CPU_WAIT_THRESHOLD_US, 2_000_000)]
 
 
-def test_an_ended_process_has_no_wait_for_a_core() -> None:
+def test_the_cpu_wait_of_an_ended_process_is_none() -> None:
     with subprocess.Popen(["true"]) as process:
         process.wait()
     assert read_cpu_wait_us(process.pid) is None
