--- a/ryepier/emulator/api_server.py
+++ b/ryepier/emulator/api_server.py
@@ -166,7 +166,7 @@
             message = "the server has received too many requests"
             raise ApiError(http.HTTPStatus.TOO_MANY_REQUESTS, "TooManyRequests", message)
         if method != GET:
-            message = "the emulated API server supports only GET requests"
+            message = "this stand-in only lists and watches"
             raise ApiError(http.HTTPStatus.METHOD_NOT_ALLOWED, "MethodNotAllowed", message)
 
     async def _get(self, target: str, writer: asyncio.StreamWriter) -> None:
--- a/ryepier/emulator/api_store.py
+++ b/ryepier/emulator/api_store.py
@@ -73,7 +73,9 @@
     for requirement in filter(None, text.split(",")):
         key, equals, value = requirement.replace("==", "=").partition("=")
         if not equals or key.endswith("!"):
-            raise ApiError(http.HTTPStatus.BAD_REQUEST, "BadRequest", f"unsupported label selector: {requirement!r}")
+            raise ApiError(
+                http.HTTPStatus.BAD_REQUEST, "BadRequest", f"this stand-in knows no selector {requirement!r}"
+            )
         labels[key.strip()] = value.strip()
     return labels
 
