--- a/ryepier/maintenance/coordinator.py
+++ b/ryepier/maintenance/coordinator.py
@@ -11,7 +11,7 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from ryepier.maintenance.leader import LeaderTasks
+from ryepier.maintenance.leader import ProposalTasks
 from ryepier.maintenance.node import FatalError, Node
 from ryepier.maintenance.peers import PeerConnections
 from ryepier.maintenance.planner import Planner
@@ -79,7 +79,7 @@
 
     def _background_tasks(self) -> list[Coroutine[Any, Any, None]]:
         """Return the coroutines that run alongside the server."""
-        leader_tasks = LeaderTasks(self.settings, self.node, self.planner, self.clock)
+        proposal_tasks = ProposalTasks(self.settings, self.node, self.planner, self.clock)
         agreement, region = self.settings.agreement, self.settings.region
         links = [
             RegionLink(agreement, region, remote_region)
@@ -88,10 +88,10 @@
         ]
         return [
             self._tick_replica(),
-            leader_tasks.advance_time(),
-            leader_tasks.observe(),
+            proposal_tasks.advance_time(),
+            proposal_tasks.observe(),
             *(self.peer_connections.keep_connected(peer) for peer in self.node.replica.settings.peers),
-            *(leader_tasks.exchange_with(link) for link in links),
+            *(proposal_tasks.exchange_with(link) for link in links),
         ]
 
     async def _tick_replica(self) -> None:
--- a/ryepier/maintenance/leader.py
+++ b/ryepier/maintenance/leader.py
@@ -26,7 +26,7 @@
 IDLE_ADVANCE_MS = 10_000
 
 
-class LeaderTasks:
+class ProposalTasks:
     """Tasks that run on every replica until they are cancelled. Only the leader proposes commands."""
 
     def __init__(self, settings: CoordinatorSettings, node: Node, planner: Planner, clock: RegionClock) -> None:
@@ -84,7 +84,7 @@
     async def exchange_with(self, link: RegionLink) -> None:
         """Report this region's capacity needs to another region periodically, and transfer allowances to it."""
         while True:
-            await asyncio.sleep(link.INTERVAL_S)
+            await asyncio.sleep(link.EXCHANGE_INTERVAL_S)
             if not self.node.replica.has_committed_in_term:
                 link.forget_last_report()
                 continue
--- a/ryepier/maintenance/region_link.py
+++ b/ryepier/maintenance/region_link.py
@@ -26,7 +26,7 @@
 class RegionLink:
     """The link from this region's leader to the coordinators of another region. One task at a time may use it."""
 
-    INTERVAL_S: ClassVar[float] = 0.5
+    EXCHANGE_INTERVAL_S: ClassVar[float] = 0.5
     CALL_TIMEOUT_S: ClassVar[float] = 2.0
 
     def __init__(self, agreement: Agreement, region: str, remote_region: str) -> None:
--- a/ryepier/maintenance/replication/storage.py
+++ b/ryepier/maintenance/replication/storage.py
@@ -28,11 +28,11 @@
 
 FILE_NAME = "replica.log"
 FILE_SIGNATURE = b"RYELOG01"
-ACKNOWLEDGED_OFFSET = struct.Struct(">QI")
-RECORD_HEADER = struct.Struct(">III")
+ACKNOWLEDGED_OFFSET_FORMAT = struct.Struct(">QI")
+RECORD_HEADER_FORMAT = struct.Struct(">III")
 OFFSET_BYTES = 8
 LENGTH_BYTES = 4
-RECORDS_OFFSET = len(FILE_SIGNATURE) + ACKNOWLEDGED_OFFSET.size
+RECORDS_OFFSET = len(FILE_SIGNATURE) + ACKNOWLEDGED_OFFSET_FORMAT.size
 MAX_RECORD_BYTES = 64 * 1024 * 1024
 
 
@@ -187,7 +187,7 @@
             raise StorageError(f"{self.path}: not a replica's log file")
         if self.size < RECORDS_OFFSET:
             raise StorageError(f"{self.path}: file header truncated")
-        self.acknowledged_offset, checksum = ACKNOWLEDGED_OFFSET.unpack_from(self.data, len(FILE_SIGNATURE))
+        self.acknowledged_offset, checksum = ACKNOWLEDGED_OFFSET_FORMAT.unpack_from(self.data, len(FILE_SIGNATURE))
         if checksum != zlib.crc32(self.data[len(FILE_SIGNATURE) : len(FILE_SIGNATURE) + OFFSET_BYTES]):
             raise StorageError(f"{self.path}: the acknowledged offset does not match its checksum")
 
@@ -211,10 +211,10 @@
 
         Raises StorageError if a checksum does not match.
         """
-        content_offset = self.offset + RECORD_HEADER.size
+        content_offset = self.offset + RECORD_HEADER_FORMAT.size
         if content_offset > self.size:
             return None
-        length, length_checksum, checksum = RECORD_HEADER.unpack_from(self.data, self.offset)
+        length, length_checksum, checksum = RECORD_HEADER_FORMAT.unpack_from(self.data, self.offset)
         if self._is_zero_filled_tail():
             return None
         if (
@@ -259,12 +259,12 @@
     if len(content) > MAX_RECORD_BYTES:
         raise StorageError(f"a record of {len(content)} bytes exceeds the limit of {MAX_RECORD_BYTES}")
     length = len(content).to_bytes(LENGTH_BYTES, "big")
-    return RECORD_HEADER.pack(len(content), zlib.crc32(length), zlib.crc32(content)) + content
+    return RECORD_HEADER_FORMAT.pack(len(content), zlib.crc32(length), zlib.crc32(content)) + content
 
 
 def _encode_acknowledged_offset(offset: int) -> bytes:
     """Return the encoded acknowledged offset with its checksum."""
-    return ACKNOWLEDGED_OFFSET.pack(offset, zlib.crc32(offset.to_bytes(OFFSET_BYTES, "big")))
+    return ACKNOWLEDGED_OFFSET_FORMAT.pack(offset, zlib.crc32(offset.to_bytes(OFFSET_BYTES, "big")))
 
 
 def _describe_identity(identity: Identity) -> str:
--- a/tests/maintenance_cluster.py
+++ b/tests/maintenance_cluster.py
@@ -90,7 +90,7 @@
     ledger: Ledger
     log: list[tuple[int, bytes]] = field(default_factory=list)
     snapshot: bytes = b""
-    entries_before_snapshot: int = 0  # number of log entries that the snapshot includes
+    snapshot_entry_count: int = 0  # number of log entries that the snapshot includes
 
 
 class Cluster:
@@ -137,12 +137,12 @@
     def checkpoint(self, region: str) -> None:
         replica = self.replicas[region]
         replica.snapshot = replica.ledger.snapshot()
-        replica.entries_before_snapshot = len(replica.log)
+        replica.snapshot_entry_count = len(replica.log)
 
     def restart(self, region: str) -> None:
         replica = self.replicas[region]
         replica.ledger = self.ledger_type.restore(self.agreement, region, replica.snapshot)
-        for index, data in replica.log[replica.entries_before_snapshot :]:
+        for index, data in replica.log[replica.snapshot_entry_count :]:
             replica.ledger.apply(index, commands.decode(data))
 
     # leases and converters
--- a/tests/maintenance_replication_cluster.py
+++ b/tests/maintenance_replication_cluster.py
@@ -10,7 +10,7 @@
 from ryepier.maintenance.replication.model import CommittedEntry, DurableState, Ready, ReplicaSettings
 
 MEMBER_NAMES = ("a", "b", "c", "d", "e")
-RUN_ROUNDS = 8  # rounds of ticks and deliveries in one `run` action
+ROUNDS_PER_RUN = 8  # rounds of ticks and deliveries in one `run` action
 
 
 class BrokenInvariantError(AssertionError):
@@ -153,7 +153,7 @@
     def perform(self, action: str, name: str, random_number: int) -> None:
         message_index = random_number % len(self.network) if self.network else -1
         if action == "run":
-            self.run(RUN_ROUNDS, partitioned_member=name if random_number % 2 else "")
+            self.run(ROUNDS_PER_RUN, partitioned_member=name if random_number % 2 else "")
         elif action == "tick":
             self.tick(name)
         elif action == "propose":
@@ -185,7 +185,7 @@
 
     def elect(self) -> str:
         for _ in range(60):
-            self.run(RUN_ROUNDS)
+            self.run(ROUNDS_PER_RUN)
             if self.leader():
                 return self.leader()
         raise AssertionError("no leader was elected")
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -132,7 +132,9 @@
         assert await north.submit(make_request("r2", "n01")) == Accepted("r2")
         assert "truncated 3 bytes of an unfinished write" in north.log_path(torn_replica).read_text()
         file_content = north.storage_path(shortened_replica).read_bytes()
-        acknowledged_offset, _ = storage.ACKNOWLEDGED_OFFSET.unpack_from(file_content, len(storage.FILE_SIGNATURE))
+        acknowledged_offset, _ = storage.ACKNOWLEDGED_OFFSET_FORMAT.unpack_from(
+            file_content, len(storage.FILE_SIGNATURE)
+        )
         # an unacknowledged write may follow the acknowledged offset, so the file is cut before that offset
         north.storage_path(shortened_replica).write_bytes(file_content[: acknowledged_offset - 5])
         process = north.start(shortened_replica)
--- a/tests/test_maintenance_regions.py
+++ b/tests/test_maintenance_regions.py
@@ -99,9 +99,9 @@
         ]
         if requests:
             record = requests[which_request % len(requests)]
-            remaining_count = record.request.max_unavailable - len(unavailable_converters & set(record.converters))
+            allowed_count = record.request.max_unavailable - len(unavailable_converters & set(record.converters))
             names = [name for name in record.remaining_converters() if name not in unavailable_converters][
-                : max(1, min(count, remaining_count))
+                : max(1, min(count, allowed_count))
             ]
             self.name_count += 1
             self.cluster.grant(ledger.region, f"l{self.name_count}", record.request.name, tuple(names))
@@ -364,7 +364,7 @@
     assert faulty_cluster.breaches, f"no breach found with seeded fault {name}"
 
 
-def test_judge_counts_independently_of_ledgers() -> None:
+def test_judge_finds_breaches_and_grants_during_shortage() -> None:
     agreement = small_agreement()
     lease_changes = [CapacityChange(i, name, 1000, planned=True) for i, name in enumerate(("n00", "n01", "s00", "s01"))]
     assert list(judge.find_breaches(agreement, lease_changes)) == []
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -22,15 +22,15 @@
 from ryepier.maintenance.replication.model import DurableState, ReplicaSettings
 from ryepier.maintenance.replication.roles import Role
 from ryepier.maintenance.replication.seeded_faults import VoteTwiceReplica
-from tests.maintenance_replication_cluster import MEMBER_NAMES, RUN_ROUNDS, BrokenInvariantError, Cluster
+from tests.maintenance_replication_cluster import MEMBER_NAMES, ROUNDS_PER_RUN, BrokenInvariantError, Cluster
 
 ACTIONS = (
     "tick", "deliver", "deliver", "repeat", "lose", "propose", "run", "run", "crash", "crash-unsaved", "restart",
     "wipe",
 )  # fmt: skip
-WEIGHTS = {"run": 8, "deliver": 8, "propose": 4, "tick": 4, "restart": 6, "repeat": 2, "lose": 2, "crash": 1,
-           "crash-unsaved": 1}  # fmt: skip
-WEIGHTS_WITH_WIPES = WEIGHTS | {"wipe": 0.2}
+ACTION_WEIGHTS = {"run": 8, "deliver": 8, "propose": 4, "tick": 4, "restart": 6, "repeat": 2, "lose": 2, "crash": 1,
+                  "crash-unsaved": 1}  # fmt: skip
+ACTION_WEIGHTS_WITH_WIPES = ACTION_WEIGHTS | {"wipe": 0.2}
 
 
 def run_random_walk(cluster: Cluster, seed: int, step_count: int, weights: Mapping[str, float]) -> None:
@@ -55,9 +55,11 @@
             cluster.perform(action, name, random_number)
 
 
-@pytest.mark.parametrize("weights", [WEIGHTS, WEIGHTS_WITH_WIPES], ids=["crashes", "wipes"])
+@pytest.mark.parametrize("weights", [ACTION_WEIGHTS, ACTION_WEIGHTS_WITH_WIPES], ids=["crashes", "wipes"])
 @pytest.mark.parametrize("member_count", [3, 5])
-def test_long_random_walks_keep_the_invariants_and_commit(member_count: int, weights: Mapping[str, float]) -> None:
+def test_long_random_walks_keep_the_invariants_and_commit_entries(
+    member_count: int, weights: Mapping[str, float]
+) -> None:
     committed_count = 0
     for seed in range(40):
         cluster = Cluster(member_count, seed)
@@ -71,7 +73,7 @@
     for seed in range(walk_count):
         cluster = Cluster(3, seed, replica_type, loses_entries)
         try:
-            run_random_walk(cluster, seed, 300, WEIGHTS)
+            run_random_walk(cluster, seed, 300, ACTION_WEIGHTS)
         except BrokenInvariantError as error:
             return str(error)
     return ""
@@ -90,7 +92,7 @@
     leader = cluster.elect()
     for _ in range(200):
         cluster.propose(leader)
-    cluster.run(2 * RUN_ROUNDS)
+    cluster.run(2 * ROUNDS_PER_RUN)
     assert [replica.commit_index for member in cluster.members.values() if (replica := member.replica)] == [
         201,
         201,
@@ -168,7 +170,7 @@
     cluster = Cluster(3, 3)
     leader = cluster.elect()
     cluster.propose(leader)
-    cluster.run(RUN_ROUNDS)
+    cluster.run(ROUNDS_PER_RUN)
     leader_replica = cluster.members[leader].replica
     assert leader_replica is not None
     term = leader_replica.term
