--- a/ryepier/maintenance/__init__.py
+++ b/ryepier/maintenance/__init__.py
@@ -1,4 +1,4 @@
 """Schedules maintenance windows across regions without breaching the agreed capacity.
 
-Capacity is an integer in thousandths of a converter's size, so that sums are exact. Times are in milliseconds.
+Capacity is an integer in thousandths of a unit of capacity, so that sums are exact. Times are in milliseconds.
 """
--- a/ryepier/maintenance/api.py
+++ b/ryepier/maintenance/api.py
@@ -115,7 +115,7 @@
 
 
 class CapacityStatus(msgspec.Struct, frozen=True):
-    """A service's capacity in the region, in thousandths of a converter's size.
+    """A service's capacity in the region, in thousandths of a unit of capacity.
 
     `unavailable` is the capacity of converters under a lease, `lost` the capacity that is missing without a lease, and
     `allowance` how much the region may take out of service.
--- a/ryepier/maintenance/leader.py
+++ b/ryepier/maintenance/leader.py
@@ -1,4 +1,4 @@
-"""The leader's background tasks, which advance the region's time, observe converters and call other regions."""
+"""Background tasks that advance the region's time, observe converters and call other regions."""
 
 from __future__ import annotations
 
@@ -22,12 +22,16 @@
 OBSERVE_INTERVAL_S = 0.3
 LISTING_TIMEOUT_S = 1.0
 ADVANCE_INTERVAL_S = 0.5
-# The step of the region's time while there are no requests; larger, because each advance adds an entry to the log.
+# Minimum step of the region's time while there are no requests. It is longer than ADVANCE_INTERVAL_S, because each
+# advance adds an entry to the log.
 IDLE_ADVANCE_MS = 10_000
 
 
 class ProposalTasks:
-    """Tasks that run on every replica until they are cancelled. Only the leader proposes commands."""
+    """Background tasks that propose commands to the region's log.
+
+    They run on every replica until they are cancelled, but only the leader proposes.
+    """
 
     def __init__(self, settings: CoordinatorSettings, node: Node, planner: Planner, clock: RegionClock) -> None:
         """Start with an empty warmth tracker for the converters of the region; no task is running yet."""
--- a/ryepier/maintenance/observer.py
+++ b/ryepier/maintenance/observer.py
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class _ListedIncarnation:
-    """An incarnation that is listed as ready, and the start of its warm-up: by this process's clock and region time."""
+    """An incarnation listed as ready, and when its warm-up started by this process's clock and by the region's time."""
 
     uid: str
     warm_up_started_ms: int
--- a/ryepier/maintenance/replication/recovery.py
+++ b/ryepier/maintenance/replication/recovery.py
@@ -8,7 +8,7 @@
 
 
 class Recovery:
-    """Collects the terms of all other members, then waits for an entry of a leader elected without its vote."""
+    """Collects the other members' terms, then waits for an entry of a leader elected without this replica's vote."""
 
     def __init__(self, state: ReplicaState) -> None:
         """Draw a nonce, so that responses to an earlier process of this replica are not counted."""
--- a/tests/test_maintenance_observer.py
+++ b/tests/test_maintenance_observer.py
@@ -1,4 +1,4 @@
-"""Tests of the observations that a coordinator derives from listings, and of those that its planner has recorded."""
+"""Tests of the observations that a coordinator derives from listings and that its planner turns into commands."""
 
 from __future__ import annotations
 
