--- a/ryepier/balancer/admission.py
+++ b/ryepier/balancer/admission.py
@@ -148,15 +148,15 @@
         sidecars' rates.
         """
         if tenant < len(self.tenant_shares_within_quota):
-            return self._weight_at_share(self.tenant_shares_within_quota[tenant])
+            return self._priority_factor(self.tenant_shares_within_quota[tenant])
         if tenant < len(self.settings.tenants):
             allowed_share = self.settings.tenants[tenant].allowance_per_s / self.total_allowance_per_s
             arrived_share = self.tenant_arrivals[tenant] / sum(self.tenant_arrivals)
-            return self._weight_at_share(min(1.0, allowed_share / arrived_share))
+            return self._priority_factor(min(1.0, allowed_share / arrived_share))
         # An unknown tenant has no quota.
         return self.settings.over_quota_weight if self.settings.tenants else 1.0
 
-    def _weight_at_share(self, share_within_quota: float) -> float:
+    def _priority_factor(self, share_within_quota: float) -> float:
         """Return the priority factor of a tenant with this share of its requests within its quota."""
         over_quota_weight = self.settings.over_quota_weight
         return over_quota_weight + (1.0 - over_quota_weight) * share_within_quota
--- a/ryepier/balancer/feedback.py
+++ b/ryepier/balancer/feedback.py
@@ -38,7 +38,7 @@
         # slow, an upstream that leaves some requests unanswered would lose its slots.
         is_lost = timed_out and (attempt.presumed_lost or attempt.overtake_count > 0)
         adapted = False
-        if not is_lost and not self.outliers.rejected_with_headroom(attempt, elapsed_us):
+        if not is_lost and not self.outliers.observe_queue_headroom(attempt, elapsed_us):
             adapted = self._adapt(attempt, elapsed_us, slots_needed, now_us)
         if is_answered:
             self.outliers.on_answer(attempt, earlier_attempts)
--- a/ryepier/balancer/membership.py
+++ b/ryepier/balancer/membership.py
@@ -30,7 +30,7 @@
         """Return the pool of an upstream."""
         return self.pools[upstream.pool_index]
 
-    def in_pool(self, pool: UpstreamPool) -> list[TrackedUpstream]:
+    def upstreams_in_pool(self, pool: UpstreamPool) -> list[TrackedUpstream]:
         """Return the ready upstreams of a pool, in the order listed."""
         return [upstream for upstream in self.by_id.values() if self.pools[upstream.pool_index] is pool]
 
@@ -83,7 +83,7 @@
     def refresh_warming(self, pool: UpstreamPool, now_us: int) -> list[TrackedUpstream]:
         """Update a pool's warming upstreams, and let each that has become warm join the pool's subset at
         random. Returns the upstreams that have left the subset."""
-        newly_warm_upstreams = pool.slow_start.refresh(self.in_pool(pool), now_us)
+        newly_warm_upstreams = pool.slow_start.refresh(self.upstreams_in_pool(pool), now_us)
         return self._sample_new_members(pool, newly_warm_upstreams)
 
     def apply_plan(self, event: PlanUpdated) -> None:
@@ -117,7 +117,7 @@
             return []
         wanted_count = pool.subset.wanted_size(pool.admission.send_rate)
         return pool.subset.sample_new_members(
-            new_upstreams, len(self.in_pool(pool)), wanted_count, self.random
+            new_upstreams, len(self.upstreams_in_pool(pool)), wanted_count, self.random
         )
 
     def _update_planned_ejections(self) -> None:
--- a/ryepier/balancer/outlier_detection.py
+++ b/ryepier/balancer/outlier_detection.py
@@ -96,8 +96,8 @@
         health.timeout_streak = min(health.timeout_streak + 1, tuning.MAX_TIMEOUT_STREAK)
         if health.timeout_streak < tuning.EJECTION_TIMEOUT_STREAK:
             return
-        first_ejection_us = latency_objective_us * self._jitter()
-        ejection_us = int(first_ejection_us * 2 ** (health.timeout_streak - 1))
+        base_ejection_us = latency_objective_us * self._jitter()
+        ejection_us = int(base_ejection_us * 2 ** (health.timeout_streak - 1))
         health.ejected_until_us = now_us + ejection_us
         self.last_ejection_ends_at_us = max(self.last_ejection_ends_at_us, health.ejected_until_us)
 
@@ -141,7 +141,7 @@
             if not other.presumed_lost:
                 self.presume_lost(other)
 
-    def rejected_with_headroom(self, attempt: Attempt, elapsed_us: int) -> bool:
+    def observe_queue_headroom(self, attempt: Attempt, elapsed_us: int) -> bool:
         """Record an ended attempt. Returns whether it was rejected by an upstream whose queue is not full.
 
         Requests that a full upstream accepts wait in its queue, so its answers are slow. An upstream that
--- a/ryepier/balancer/retries.py
+++ b/ryepier/balancer/retries.py
@@ -117,8 +117,8 @@
         """Return the timeout (us) of the next attempt: the time for which its answer is useful or, if a retry
         may follow and hedging is off, a multiple of the mean latency of the class."""
         useful_us = max(1, self.useful_until_us(request) - now_us)
-        is_unsafe = request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
-        if self.settings.hedging or is_unsafe or self.budget < 1:
+        is_non_idempotent = request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
+        if self.settings.hedging or is_non_idempotent or self.budget < 1:
             return useful_us
         event = request.event
         timeout_us = max(
--- a/ryepier/conf/operator_settings.py
+++ b/ryepier/conf/operator_settings.py
@@ -124,7 +124,7 @@
             raise ValueError("client_cert_file: must be set together with client_key_file")
 
 
-class GraphqlField(msgspec.Struct, kw_only=True, frozen=True):
+class GraphqlFieldRule(msgspec.Struct, kw_only=True, frozen=True):
     """Classification rule for a root field of queries or mutations."""
 
     type: Literal["query", "mutation"]
@@ -145,7 +145,7 @@
     queries: str = ""  # class of queries whose root field is not in `fields`
     mutations: str = ""  # class of mutations whose root field is not in `fields`
     max_batch_size: Annotated[int, msgspec.Meta(ge=1, le=100)] = 20  # operations in one request
-    fields: list[GraphqlField] = msgspec.field(default_factory=list)
+    fields: list[GraphqlFieldRule] = msgspec.field(default_factory=list)
 
     def __post_init__(self) -> None:
         """Raise ValueError if a default class is missing or a field has two rules."""
--- a/ryepier/experiments/maintenance/maintenance_harness.py
+++ b/ryepier/experiments/maintenance/maintenance_harness.py
@@ -241,11 +241,11 @@
         """Start a relay in front of each coordinator. Raises OSError."""
         for region in REGIONS:
             for number, _ in enumerate(replica_names(region)):
-                listen, target = (
+                listen_address, target_address = (
                     parse_address(coordinator_address(self.plan.network, region, number, relayed))
                     for relayed in (True, False)
                 )
-                relay = Relay(listen, target, self.plan.seed * 100 + len(self.relays))
+                relay = Relay(listen_address, target_address, self.plan.seed * 100 + len(self.relays))
                 await relay.start()
                 self.relays.append(relay)
 
--- a/ryepier/experiments/maintenance/outcome.py
+++ b/ryepier/experiments/maintenance/outcome.py
@@ -51,10 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class UnleasedOutage:
-    """A status poll, sent at `poll_us`, that showed no lease on a converter that was out."""
+    """A status poll, sent at `polled_at_us`, that showed no lease on a converter that was out."""
 
     converter: str
-    poll_us: int
+    polled_at_us: int
 
 
 @dataclass(frozen=True, slots=True)
--- a/ryepier/experiments/maintenance/relay.py
+++ b/ryepier/experiments/maintenance/relay.py
@@ -22,10 +22,13 @@
     greeting, and all replies are relayed unchanged, because a caller has only one outstanding call at a time.
     """
 
-    def __init__(self, listen: Address, target: Address, seed: int) -> None:
-        """Relay from `listen` to `target` with random delays drawn from `seed`; it does not listen until `start`."""
-        self.listen = listen
-        self.target = target
+    def __init__(self, listen_address: Address, target_address: Address, seed: int) -> None:
+        """Relay from `listen_address` to `target_address` with random delays drawn from `seed`.
+
+        It does not listen until `start`.
+        """
+        self.listen_address = listen_address
+        self.target_address = target_address
         self.random = random.Random(seed)
         self.is_partitioned = False
         self.writers: set[asyncio.StreamWriter] = set()
@@ -35,7 +38,7 @@
 
     async def start(self) -> None:
         """Listen for connections. Raises OSError."""
-        self.server = await asyncio.start_server(self._serve, *self.listen)
+        self.server = await asyncio.start_server(self._serve, *self.listen_address)
 
     def partition(self) -> None:
         """Abort all connections, and abort new ones until `heal`."""
@@ -53,7 +56,7 @@
             writer.transport.abort()
             return
         try:
-            target_reader, target_writer = await asyncio.open_connection(*self.target)
+            target_reader, target_writer = await asyncio.open_connection(*self.target_address)
         except OSError:
             writer.transport.abort()
             return
--- a/ryepier/maintenance/transfer_commands.py
+++ b/ryepier/maintenance/transfer_commands.py
@@ -114,10 +114,10 @@
         may be unavailable in this region.
         """
         requested_capacity = 0
-        horizon_ms = self.state.now_ms + REBALANCE_HORIZON_MS
+        horizon_end_ms = self.state.now_ms + REBALANCE_HORIZON_MS
         for record in self.state.open_requests():
             request = record.request
-            if request.service == service and request.earliest_ms <= horizon_ms:
+            if request.service == service and request.earliest_ms <= horizon_end_ms:
                 converters = self.context.agreement.converters
                 sizes = sorted((converters[name].size for name in record.remaining_converters()), reverse=True)
                 requested_capacity += sum(sizes[: request.max_unavailable])
--- a/ryepier/plan/forwarder.py
+++ b/ryepier/plan/forwarder.py
@@ -182,7 +182,10 @@
         """Start the tasks that connect to planners, send reports and publish advice."""
         loop = asyncio.get_running_loop()
         self.tasks = [loop.create_task(self.maintain_connection(address)) for address in self.settings.planners]
-        self.tasks += [loop.create_task(self.run_reports()), loop.create_task(self.run_advice())]
+        self.tasks += [
+            loop.create_task(self.send_reports_periodically()),
+            loop.create_task(self.publish_advice_periodically()),
+        ]
 
     def stop(self) -> None:
         """Cancel the tasks and close the connections."""
@@ -221,7 +224,7 @@
             if self.machine.clock_us() > connection.last_received_at_us + SILENCE_TIMEOUT_US:
                 connection.abort()
 
-    async def run_reports(self) -> None:
+    async def send_reports_periodically(self) -> None:
         """Send reports until the task is cancelled."""
         # the first report is delayed by a random time, so that the forwarders do not all report at the same moment
         await asyncio.sleep(self.jitter_s(self.settings.report_interval_s))
@@ -263,7 +266,7 @@
         if not rejection:
             self.publish_advice()
 
-    async def run_advice(self) -> None:
+    async def publish_advice_periodically(self) -> None:
         """Publish the advice periodically until the task is cancelled."""
         while True:
             await asyncio.sleep(ADVICE_INTERVAL_S)
--- a/ryepier/sidecar/server.py
+++ b/ryepier/sidecar/server.py
@@ -69,7 +69,7 @@
         self.partial_retry_after_us = min(PARTIAL_RETRY_AFTER_US, max_retry_after_us)
         # Each group is in the order in which its connections entered the state, so the oldest one comes first.
         self.clients_by_state: dict[ClientState, dict[ClientConnection, None]] = {state: {} for state in ClientState}
-        self.start_tasks: set[asyncio.Task[object]] = set()
+        self.connection_start_tasks: set[asyncio.Task[object]] = set()
         self.is_stopping = False
         self.sock: socket.socket | None = None
 
@@ -122,8 +122,8 @@
             client = ClientConnection(self, sock)
             self.clients_by_state[ClientState.NEW][client] = None
             task = self.loop.create_task(self.start_connection(client, sock))
-            self.start_tasks.add(task)
-            task.add_done_callback(self.start_tasks.discard)
+            self.connection_start_tasks.add(task)
+            task.add_done_callback(self.connection_start_tasks.discard)
 
     async def start_connection(self, client: ClientConnection, sock: socket.socket) -> None:
         """Create the transport of an accepted connection, which starts reading from it."""
--- a/tests/known_red_plugin.py
+++ b/tests/known_red_plugin.py
@@ -28,7 +28,7 @@
     path = config.rootpath / known_red.FILE_NAME
     if not path.exists():
         return
-    listing = read(path)
+    listing = read_listing(path)
     worker_output: dict[str, Any] | None = getattr(config, "workeroutput", None)
     judge = RunJudge(config, listing) if worker_output is None else None
     config.pluginmanager.register(FailureMarker(listing, worker_output, judge))
@@ -36,7 +36,7 @@
         config.pluginmanager.register(judge)
 
 
-def read(path: Path) -> Listing:
+def read_listing(path: Path) -> Listing:
     """Read the list. A file that cannot be read gives a list with an error and no entries."""
     try:
         return known_red.parse(path.read_text("utf-8"))
--- a/tests/test_maintenance_links.py
+++ b/tests/test_maintenance_links.py
@@ -119,7 +119,7 @@
 
 
 async def check_duplicated_and_reordered_calls(relay: Relay, recording_coordinator: RecordingCoordinator) -> Connection:
-    connection = await Connection.dial(relay.listen, HELLO)
+    connection = await Connection.dial(relay.listen_address, HELLO)
     for number in range(20):
         connection.send(StatusCall(number))
     received_frames = recording_coordinator.received_frames
@@ -136,7 +136,7 @@
     relay.partition()
     with pytest.raises((OSError, EOFError)):
         await connection.receive()
-    rejected_connection = await Connection.dial(relay.listen, HELLO)
+    rejected_connection = await Connection.dial(relay.listen_address, HELLO)
     with pytest.raises((OSError, EOFError)):
         await rejected_connection.receive()
 
