--- a/ryepier/check/canonical.py
+++ b/ryepier/check/canonical.py
@@ -1,11 +1,11 @@
 """Canonical digests of states, by which the exploration recognizes equal states.
 
-Two states are equal if everything that determines their possible continuations is equal, with times relative to now,
-under some permutation of interchangeable converters.
+Two states are equal if, under some permutation of interchangeable converters, everything is equal that determines which
+steps can follow and what they do. Times are compared relative to the current time of each state.
 
-The balancer's measurements (latency ratios, loads, failure shares) are omitted: they only change the probability of
-each converter, and every converter that may be drawn is explored anyway. The slots and ejections that result from the
-measurements are part of a state.
+The balancer's measurements (latency ratios, loads, failure shares) are omitted: they only change the probability with
+which each converter is drawn, and every converter that may be drawn is explored anyway. The slots and ejections that
+result from the measurements are part of a state.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 from ryepier.check.state import ModelState
 from ryepier.sidecar import dispatcher
 
-Permutation = dict[int, int]
+Permutation = dict[int, int]  # new converter ids by converter ids
 DigestFunction = Callable[[ModelState], bytes]
 
-MAX_AGE_US = 300_000  # exceeds all deadlines and idempotency windows, so greater ages are equivalent
+MAX_AGE_US = 300_000  # exceeds all deadlines and idempotency windows, so a greater age makes no difference
 DIGEST_BYTES = 12
 
 
 def domain_preserving_permutations(model: Model) -> Iterator[Permutation]:
-    """Yield the permutations of converters that map each failure domain to exactly one failure domain."""
+    """Yield the permutations of converters that preserve which converters share a failure domain."""
     ids = range(1, model.converters + 1)
     for order in itertools.permutations(ids):
         domains: dict[int, int] = {}
@@ -44,9 +44,9 @@
 
 
 class _PermutedState:
-    """A state under one permutation of its converters, as nested tuples.
+    """Represents a state under one permutation of its converters as nested tuples.
 
-    The digests in checkpoints depend on the form of the tuples, so changing it invalidates existing checkpoints.
+    The digests in checkpoints depend on the structure of the tuples, so changing it invalidates existing checkpoints.
     """
 
     def __init__(self, state: ModelState, permutation: Permutation) -> None:
@@ -55,11 +55,11 @@
         self.permutation = permutation
 
     def remaining_us(self, at_us: int) -> int:
-        """Return the time from now until `at_us`; -1 for all times in the past."""
+        """Return the time from now until `at_us`, or -1 if it has passed."""
         return max(-1, at_us - self.now_us)
 
     def relative_time_us(self, at_us: int) -> int:
-        """Return the time since `at_us` as a negative number, limited to `-MAX_AGE_US`."""
+        """Return the past time `at_us` relative to now, a negative number that is at least `-MAX_AGE_US`."""
         return max(-MAX_AGE_US, at_us - self.now_us)
 
     def buffered_until_us(self, request: upstream.PendingRequest) -> int:
--- a/ryepier/check/environment.py
+++ b/ryepier/check/environment.py
@@ -1,4 +1,4 @@
-"""Replacements for the random numbers and the event loop of the code under test, both controlled by a path."""
+"""Replacements for the random number generator and the event loop of the code under test, controlled by a path."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 T = TypeVar("T")
 
-EPOCH_US = 1_000_000_000  # time at which each path begins
+EPOCH_US = 1_000_000_000  # time of the clock at the start of each path
 
 
 class UndecidedDraw(BaseException):
     """The code under test made a random draw for which the path has no result.
 
-    This is not an `Exception`, because the dispatcher catches those and continues.
+    This is a `BaseException`, because the dispatcher catches each `Exception` and continues.
     """
 
     def __init__(self, choice_count: int) -> None:
@@ -27,12 +27,12 @@
 class ScriptedRandom:
     """Replaces the balancer's random number generator.
 
-    Each choice of a converter is a branch of the state space. Random times are fixed, mostly to the middle of their
-    range: they only shift events in time, and all orders of events are explored anyway.
+    The exploration branches on each choice of a converter. Random times are fixed, mostly to the middle of their range,
+    because they only shift events in time, and all orders of events are explored anyway.
     """
 
     def __init__(self) -> None:
-        """Create a generator without scripted results; `draws` is set before each step."""
+        """Create a generator without scripted results; the caller must set `draws` before each step."""
         self.draws: Iterator[int] = iter(())
 
     def choices(self, population: Sequence[T], weights: Sequence[float]) -> list[T]:
@@ -45,20 +45,20 @@
         return [population[draw]]
 
     def random(self) -> float:
-        """Return the middle of the range."""
+        """Return 0.5, the middle of the range of `random.random`."""
         return 0.5
 
     def uniform(self, low: float, high: float) -> float:
-        """Return the middle of the range."""
+        """Return the middle of the range from `low` to `high`."""
         return (low + high) / 2
 
     def randint(self, low: int, high: int) -> int:
-        """Return the lowest number of the range."""
+        """Return `low`."""
         return low
 
 
 class Timer:
-    """A scheduled callback."""
+    """A scheduled callback, with the part of `asyncio.TimerHandle` that the dispatcher uses."""
 
     def __init__(self, callback: Callable[..., None], args: tuple[Any, ...]) -> None:
         """Create a timer that calls `callback` with `args` when it fires, unless it is cancelled."""
@@ -72,7 +72,7 @@
 
 
 class Timers:
-    """Timers on a path's clock, with the part of the event loop's interface that the dispatcher uses."""
+    """The clock of a path and its timers, with the part of the event loop's interface that the dispatcher uses."""
 
     def __init__(self) -> None:
         """Start the clock at `EPOCH_US`, without timers."""
@@ -87,7 +87,7 @@
         return timer
 
     def next_due_us(self) -> int | None:
-        """Return the due time of the next timer in microseconds; None if there is none."""
+        """Return the due time of the next timer in microseconds, or None if no timer is scheduled."""
         while self.heap and self.heap[0][2].cancelled:
             heapq.heappop(self.heap)
         return self.heap[0][0] if self.heap else None
--- a/ryepier/check/explore.py
+++ b/ryepier/check/explore.py
@@ -1,6 +1,6 @@
 """Breadth-first exploration of a model's state space, which finds a shortest path to a violation.
 
-It runs in several processes, stops at a limit on the number of states, and can be continued from a checkpoint.
+It runs in several processes, stops once it has found `MAX_STATES` states, and can be continued from a checkpoint.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 from ryepier.check.model import Model, Step, Violation
 from ryepier.check.state import ModelState, replay
 
-CHUNK_SIZE = 64  # paths that a worker process expands per task
-MAX_STATES = 3_000_000  # the digests of that many states take about 300 MB
+CHUNK_SIZE = 64  # number of paths that a worker process expands per task
+MAX_STATES = 3_000_000  # limit of an exploration; the digests of that many states take about 300 MB
 Steps = tuple[Step, ...]
 FaultInstaller = Callable[[], None]
 
 
 @dataclass(slots=True)
 class Expansion:
-    """The successors of one path, or its first successor that violates a rule."""
+    """The successors of a path, or the first successor that violates a rule."""
 
-    children: list[tuple[bytes, Steps]] = field(default_factory=list)  # digest of the state, and its path
+    children: list[tuple[bytes, Steps]] = field(default_factory=list)  # digest and path of each successor
     violation: Violation | None = None
     path: Steps = ()  # path to the violation
     transitions: int = 0
@@ -44,17 +44,17 @@
     states: int = 1
     transitions: int = 0
     terminal_states: int = 0
-    depth: int = 0
-    seconds: float = 0.0
+    depth: int = 0  # number of steps of the longest explored paths
+    seconds: float = 0.0  # duration, including the time recorded in a checkpoint
     complete: bool = False  # the whole state space was explored without a violation
     violation: Violation | None = None
     path: Steps = ()
 
 
 def successors(model: Model, path: Steps) -> Iterator[tuple[Steps, ModelState]]:
-    """Yield each path that is one step longer, with its state.
+    """Yield each path that continues `path` by one step, with the state at its end.
 
-    A step that makes random draws is yielded once for each combination of results.
+    A step that makes random draws is tried once for each combination of results.
     """
     for step in replay(model, path).enabled_steps():
         pending_steps = [step]
@@ -72,7 +72,7 @@
 
 
 def expand(model: Model, path: Steps) -> Expansion:
-    """Return a path's successors. Stops at the first one that violates a rule."""
+    """Return the successors of a path, or stop at the first successor that violates a rule."""
     expansion, digest = Expansion(), digester(model)
     for longer_path, state in successors(model, path):
         expansion.transitions += 1
@@ -124,7 +124,7 @@
 
 
 class _Explorer:
-    """The state of an exploration in progress."""
+    """The progress of an exploration: the digests of all states found, and the paths to expand next."""
 
     def __init__(self, model: Model, checkpoint: Path | None) -> None:
         self.model = model
@@ -139,16 +139,16 @@
 
     @property
     def elapsed_s(self) -> float:
-        """The time since this process began to explore, without the time recorded in a checkpoint."""
+        """The time in seconds since this object was created, without the time recorded in a checkpoint."""
         return time.monotonic() - self._start_s
 
     def can_continue(self) -> bool:
-        """Return whether there is another level to explore."""
+        """Return whether there is another level of paths to explore."""
         is_depth_reached = 0 < self.model.depth <= self.progress.depth
         return bool(self.frontier) and self.progress.violation is None and not is_depth_reached
 
     def explore_level(self, pool: ProcessPoolExecutor) -> None:
-        """Expand all paths of the frontier; the paths to new states become the next frontier."""
+        """Expand all paths of the frontier, and replace the frontier with the paths to new states."""
         paths, self.frontier = self.frontier, []
         chunks = [paths[begin : begin + CHUNK_SIZE] for begin in range(0, len(paths), CHUNK_SIZE)]
         for expansions in pool.map(_expand_all, [self.model] * len(chunks), chunks):
@@ -170,7 +170,7 @@
                 self.frontier.append(path)
 
     def save(self) -> None:
-        """Write the checkpoint, if a file was given for it."""
+        """Write the checkpoint, if its path was given."""
         if self.checkpoint is not None:
             save(self.checkpoint, self.model, self.seen_digests, self.frontier, self.progress)
 
@@ -187,7 +187,7 @@
 
     The limits are the model's depth, `max_seconds` and `MAX_STATES`. `processes` defaults to the number of cores.
     `install_fault` is called in each worker process. If the file `checkpoint` exists, the exploration continues from
-    it, and raises the errors of `load`. `on_progress` is called after each level.
+    it, and errors of `load` are raised. `on_progress` is called after each level.
     """
     explorer = _Explorer(model, checkpoint)
     with ProcessPoolExecutor(processes or os.cpu_count(), initializer=install_fault) as pool:
--- a/ryepier/check/formats.py
+++ b/ryepier/check/formats.py
@@ -1,7 +1,6 @@
 """File formats of the checker: checkpoints of explorations (MessagePack) and recorded paths (JSON).
 
-Some keys in the files differ from the names in the code, because the format has kept earlier names. This module maps
-the keys to the names.
+Some keys in the files are earlier names of fields, which the code has renamed since. This module maps keys to names.
 """
 
 from __future__ import annotations
@@ -20,17 +19,17 @@
     "client_disconnects": "leaves",
     "connects_first": "dials",
 }
-"""Keys in files of the `Model` fields whose key differs from their name."""
+"""Keys in files by names of `Model` fields, for the fields whose key differs from the name."""
 
 
 class Checkpoint(msgspec.Struct):
     """The progress of an exploration, from which it can be continued."""
 
     model: str  # result of `model_signature`
-    seen: list[bytes]
-    frontier: list[list[EncodedStep]]
+    seen: list[bytes]  # digests of all states found so far
+    frontier: list[list[EncodedStep]]  # paths to expand next
     transitions: int
-    ends: int
+    ends: int  # number of terminal states
     depth: int
     seconds: float
 
@@ -49,21 +48,21 @@
 
 
 def decode_step(encoded: EncodedStep) -> Step:
-    """Return the step for a result of `encode_step`."""
+    """Return the step that `encode_step` has encoded."""
     return Step(*encoded)
 
 
 def encode_model(model: Model) -> dict[str, object]:
-    """Return the model's fields by their keys in files, in the order of their definition."""
+    """Return a model's field values by their keys in files, in the order in which the fields are defined."""
     return {MODEL_KEYS.get(field.name, field.name): getattr(model, field.name) for field in fields(model)}
 
 
 def decode_model(encoded: dict[str, object]) -> Model:
-    """Return the model for a result of `encode_model`. Raises msgspec.ValidationError."""
+    """Return the model that `encode_model` has encoded. Raises msgspec.ValidationError if it is malformed."""
     names_by_key = {key: name for name, key in MODEL_KEYS.items()}
     return msgspec.convert({names_by_key.get(key, key): value for key, value in encoded.items()}, Model)
 
 
 def model_signature(model: Model) -> str:
-    """Return a text that identifies a model with all its parameters; checkpoints store it."""
+    """Return a text that contains all parameters of a model, by which a checkpoint identifies its model."""
     return f"Model({', '.join(f'{key}={value!r}' for key, value in encode_model(model).items())})"
--- a/ryepier/check/invariants.py
+++ b/ryepier/check/invariants.py
@@ -1,4 +1,4 @@
-"""The invariants: generators of the violations of an attempt, an answer, a state or a terminal state."""
+"""The invariants: functions that yield the violations caused by an attempt or an answer, or present in a state."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     client: ClientRequestState,
     sent: SentAttempt,
 ) -> Iterator[Violation]:
-    """Yield the violations of an attempt that is being sent; `client.attempts` must not contain it yet."""
+    """Yield the violations caused by sending an attempt; `client.attempts` must not contain the attempt yet."""
     for earlier in client.attempts:
         if not earlier.ended:
             yield Violation(Rule.TOGETHER, f"attempt {sent.number} while attempt {earlier.number} is in flight")
@@ -30,13 +30,13 @@
         yield Violation(Rule.ATTEMPTS, f"attempt {len(client.attempts) + 1} exceeds the limit of {model.max_attempts}")
     if client.disconnected or client.answers:
         yield Violation(Rule.RESEND, f"attempt {sent.number} of a request that has already ended")
-    if upstream_states[sent.upstream] is not api.UpstreamState.READY:  # the protocol is less strict and allows 500 ms
+    if upstream_states[sent.upstream] is not api.UpstreamState.READY:  # the protocol still allows this for 500 ms
         text = f"attempt {sent.number} to converter {sent.upstream}, which is not ready"
         yield Violation(Rule.DRAIN, text)
 
 
 def _may_repeat(model: Model, request_class: api.RequestClass, earlier: SentAttempt, later: SentAttempt) -> bool:
-    """Return whether `later` is allowed although the converter may have executed the request in `earlier`."""
+    """Return whether attempt `later` is allowed although attempt `earlier` may have executed the request."""
     if request_class.idempotency == api.Idempotency.IDEMPOTENT:
         return True
     if (
@@ -50,7 +50,7 @@
 
 
 def violations_of_answer(number: int, client: ClientRequestState, answer: FinalAnswer) -> Iterator[Violation]:
-    """Yield the violations of a new answer; `client.answers` must not contain it yet."""
+    """Yield the violations caused by an answer; `client.answers` must not contain the answer yet."""
     if client.answers:
         yield Violation(Rule.ANSWERS, f"request {number} has a second answer")
     if client.disconnected:
@@ -74,7 +74,7 @@
 def violations_of_state(
     dispatcher: RequestDispatcher, clients: Sequence[ClientRequestState], now_us: int
 ) -> Iterator[Violation]:
-    """Yield the violations of a state between two steps."""
+    """Yield the violations present in the state after a step."""
     yield from _violations_of_slots(dispatcher.balancer)
     for number, client in enumerate(clients):
         open_request = dispatcher.requests.get(client.ident)
@@ -102,7 +102,7 @@
 
 
 def violations_of_end(dispatcher: RequestDispatcher) -> Iterator[Violation]:
-    """Yield the violations after all requests have ended and all timers have fired: state that was not released."""
+    """Yield the violations after all requests have ended and all timers have fired, i.e. anything not released."""
     balancer = dispatcher.balancer
     contents = {
         "the host's requests": dispatcher.requests,
--- a/ryepier/check/line_coverage.py
+++ b/ryepier/check/line_coverage.py
@@ -41,21 +41,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Method:
-    """A method of a class that is defined in one of the modules."""
+    """A method of a class that is defined in one of `MODULES`."""
 
-    name: str
+    name: str  # with the name of the class
     code: CodeType
 
 
 class UnreachedFunction(NamedTuple):
-    """A function with lines that were not executed."""
+    """A function that was not executed completely."""
 
-    name: str
-    lines: list[int]
+    name: str  # with the names of the module and the class
+    lines: list[int]  # line numbers that were not executed
 
 
 def code_lines(code: CodeType) -> set[int]:
-    """Return the line numbers of a function without its `def` line, including functions defined in it."""
+    """Return the line numbers of a function and of the functions defined in it, without its own `def` line."""
     lines = {line for _, line in dis.findlinestarts(code) if line is not None and line != code.co_firstlineno}
     for constant in code.co_consts:
         if isinstance(constant, CodeType):
@@ -98,7 +98,7 @@
 
 
 def unreached_functions(executed: Lines) -> list[UnreachedFunction]:
-    """Return the functions that have lines that were not executed."""
+    """Return the methods in `MODULES` that were not executed completely, with the missing lines."""
     functions = []
     for module in MODULES:
         for method in methods(module):
--- a/ryepier/check/models.py
+++ b/ryepier/check/models.py
@@ -1,4 +1,4 @@
-"""The predefined models, which `ryepier check` can explore by name."""
+"""The predefined models, which `ryepier check` explores by name."""
 
 from __future__ import annotations
 
--- a/ryepier/check/observations.py
+++ b/ryepier/check/observations.py
@@ -1,4 +1,4 @@
-"""The environment's view of requests: attempts as converters observe them, and answers as clients receive them."""
+"""The environment's view of requests: the attempts that converters observe, and the answers that clients receive."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 @dataclass(slots=True)
 class SentAttempt:
-    """An attempt from the environment's point of view."""
+    """An attempt as the environment observes it."""
 
-    number: int  # index among all attempts of the path
+    number: int  # index among the attempts of the path
     request: int  # index among the model's requests
     upstream: int
     on_end: Callable[[AttemptResult], None]
-    started_at_us: int  # time at which the dispatcher started it
+    started_at_us: int  # time at which the dispatcher started the attempt
     fully_written: bool  # whether the request has been written to a connection
-    ended: bool = False  # the attempt was cancelled or has an outcome; no event of it follows
+    ended: bool = False  # the attempt was cancelled or has an outcome; no events of the attempt follow
     outcome: api.Outcome | None = None  # None: in flight or cancelled
 
     def cancel(self) -> None:
@@ -36,11 +36,11 @@
 
 @dataclass(slots=True)
 class ClientRequestState:
-    """A request from its client's point of view."""
+    """A request as its client observes it, with its attempts."""
 
     request_class: api.RequestClass
     ident: int = 0  # the dispatcher's id of the request; 0: the request has not arrived
-    due_us: int = 0  # deadline
+    due_us: int = 0  # time of the deadline
     answers: list[FinalAnswer] = field(default_factory=list)
     disconnected: bool = False
     attempts: list[SentAttempt] = field(default_factory=list)
--- a/ryepier/check/seeded_faults.py
+++ b/ryepier/check/seeded_faults.py
@@ -1,6 +1,7 @@
 """Seeded faults (mutants) of the code under test, at least one for each rule, to verify that the checker finds them.
 
-Each function installs one fault by patching classes. Patches are not undone, so use a separate process for each fault.
+Each function installs the fault that its docstring describes by patching classes. Patches are not undone, so use a
+separate process for each fault.
 """
 
 from __future__ import annotations
@@ -18,11 +19,11 @@
 from ryepier.sidecar.dispatcher import OpenRequest, RequestDispatcher
 from ryepier.sidecar.requests import AttemptResult, FinalAnswer, FinalOutcome
 
-DELAYED_ANSWER_LEAD_US = 30_000  # time before the deadline at which delayed answers are given
+DELAYED_ANSWER_LEAD_US = 30_000  # how long before the deadline delayed answers are given
 
 
 def second_answer() -> None:
-    """Answer a request a second time when an attempt succeeds after the client has been answered."""
+    """Answer a request if an attempt succeeds after the request was answered or its client disconnected."""
     end_attempt = RequestDispatcher._end_attempt
 
     def end_and_answer(
@@ -63,7 +64,7 @@
 
 
 def concurrent_attempts() -> None:
-    """Send a second attempt while an overdue one is in flight."""
+    """Send a second attempt while an overdue attempt is still in flight."""
     on_wake_up = Balancer.on_wake_up
 
     def send_when_overdue(self: Balancer, wake_up: WakeUp) -> None:
@@ -78,7 +79,7 @@
 
 
 def unsafe_retry_after_reset() -> None:
-    """Treat a reset attempt as one that the converter has not executed."""
+    """Treat a request as not executed by the converter if its attempt was reset."""
     not_executed_outcomes = (api.Outcome.REJECTED, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT, api.Outcome.RESET)
 
     def first_attempt_not_reset(self: PendingRequest) -> Attempt | None:
@@ -88,12 +89,12 @@
 
 
 def any_failure_domain() -> None:
-    """Retry requests with an idempotency key in any failure domain."""
+    """Retry requests with an idempotency key in any failure domain, even one where the key is unknown."""
     RetryPolicy.in_scope = lambda self, first_attempt, upstream: True  # type: ignore[method-assign]
 
 
 def long_idempotency_window() -> None:
-    """Retry requests with an idempotency key long after the end of the idempotency window."""
+    """Retry requests with an idempotency key long after the idempotency window has ended."""
     may_send = RetryPolicy.may_send
 
     def may_send_later(self: RetryPolicy, request: PendingRequest, now_us: int) -> bool:
@@ -136,12 +137,12 @@
 
 
 def requests_never_removed() -> None:
-    """Never remove requests from the dispatcher after their end."""
+    """Never remove requests that have ended from the dispatcher."""
     RequestDispatcher._remove_if_done = lambda self, open_request: None  # type: ignore[method-assign]
 
 
 def one_attempt_too_many() -> None:
-    """Allow one attempt more than the settings do."""
+    """Allow one attempt more than `max_attempts`."""
     may_send = RetryPolicy.may_send
 
     def may_send_more(self: RetryPolicy, request: PendingRequest, now_us: int) -> bool:
@@ -164,7 +165,7 @@
 
 
 def failures_reported_as_rejections() -> None:
-    """Reject every request that is given up, even if a converter may have executed it."""
+    """Answer failed requests as rejected, even if a converter may have executed them."""
     execute = RequestDispatcher._execute
 
     def reject_instead_of_fail(self: RequestDispatcher, action: api.Action) -> None:
--- a/ryepier/check/state.py
+++ b/ryepier/check/state.py
@@ -1,4 +1,4 @@
-"""A state of the exploration: the real dispatcher and balancer, and the environment that acts on them step by step.
+"""States of the exploration: the real dispatcher and balancer, and the environment that acts on them step by step.
 
 A path is a list of steps. A path always leads to the same state, so a state is stored as its path and recreated by
 replaying it, and never has to be copied.
@@ -19,16 +19,16 @@
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.requests import AttemptResult, ClientRequest, FinalAnswer
 
-MAX_SETTLE_TIMERS = 200  # timers that `settle` fires before it reports a violation
+MAX_SETTLE_TIMERS = 200  # number of timers that `settle` fires before it reports a leak
 MAX_RETRY_AFTER_US = 500_000
 DISPATCHER_SEED = 1  # fixed, so that a path always leads to the same state
-SCRIPTED_METHODS = ("choices", "random", "uniform", "randint")  # methods of the balancer's `Random` to replace
+SCRIPTED_METHODS = ("choices", "random", "uniform", "randint")  # methods of the balancer's `Random` that are replaced
 
 
 class ModelState:
     """The state at the end of a path.
 
-    It also implements the dispatcher's upstreams, in place of a connection pool, and so observes each attempt.
+    It also takes the place of the connection pool through which the dispatcher sends attempts, to observe them.
     """
 
     def __init__(self, model: Model) -> None:
@@ -41,7 +41,7 @@
         self.upstream_states = dict.fromkeys(range(1, model.converters + 1), api.UpstreamState.READY)
         self.list_change_count = 0
         self.client_disconnect_count = 0
-        self.events: list[str] = []  # descriptions of the events so far, for a chart
+        self.events: list[str] = []  # descriptions of the events so far, which charts show
         class_names = list(CLASSES)
         self._class_indexes = [class_names.index(name) for name in model.requests]
         self._random = ScriptedRandom()
@@ -70,7 +70,7 @@
         finally:
             system.monotonic_ns = original
 
-    # Interface of the dispatcher's upstreams
+    # Methods of a connection pool that the dispatcher calls
 
     def start_attempt(
         self,
@@ -107,7 +107,7 @@
     # Steps that are possible in this state
 
     def enabled_steps(self) -> list[Step]:
-        """Return the possible next steps; none if all requests and attempts have ended."""
+        """Return the possible next steps. There are none once all requests and attempts have ended."""
         next_request_index = next((index for index, client in enumerate(self.clients) if client.ident == 0), None)
         in_flight = [attempt for attempt in self.attempts if not attempt.ended]
         steps = [] if next_request_index is None else [Step(Action.ARRIVE, next_request_index)]
@@ -135,7 +135,7 @@
             return [Step(Action.ANSWER, attempt.number, outcome) for outcome in self.model.outcomes]
         connect_failed = Step(Action.CONNECT_FAILED, attempt.number)
         if self.upstream_states[attempt.upstream] is not api.UpstreamState.READY:
-            return [connect_failed]  # requests are not written to a converter that is no longer ready
+            return [connect_failed]  # requests are written only to ready converters
         return [Step(Action.CONNECTED, attempt.number), connect_failed]
 
     def _list_steps(self) -> Iterable[Step]:
@@ -155,7 +155,7 @@
     def apply(self, step: Step) -> None:
         """Apply a step, and check the new state.
 
-        Raises UndecidedDraw if the step makes more random draws than it has results for; the state is then unusable.
+        Raises UndecidedDraw if the step has too few results of random draws; the state must not be used after that.
         """
         self._random.draws = iter(step.draws)
         with self._path_clock():
@@ -214,7 +214,7 @@
     def _change_entry(self, upstream: int, state: api.UpstreamState) -> None:
         """Change the state of a converter's entry in the endpoint list.
 
-        A removed converter is listed again under its id as a new process.
+        If a removed converter is listed again, it is a new process with the same id.
         """
         self._set_upstream_state(upstream, state)
         self._send_endpoints(self.dispatcher, api.ListKind.DELTA, [upstream])
@@ -237,7 +237,7 @@
         dispatcher.on_endpoints(api.UpstreamsUpdated(kind, entries, self.list_change_count + 1), addresses)
 
     def _advance_time(self, step: Step) -> None:
-        """Advance to the next timer, or to the time from which a waiting client's answer counts as missing."""
+        """Advance to the next timer, or to the time from which an answer counts as missing if that is earlier."""
         next_times_us = [client.due_us + invariants.ANSWER_SLACK_US + 1 for client in self.clients if client.waiting]
         next_timer_us = self.timers.next_due_us()
         if next_timer_us is not None:
@@ -247,7 +247,7 @@
         self.timers.now_us = next_us
 
     def settle(self) -> None:
-        """Fire all remaining timers in a terminal state, and check that everything was released."""
+        """Fire all remaining timers in a terminal state, and check that requests, slots and timers were released."""
         for _ in range(MAX_SETTLE_TIMERS):
             next_us = self.timers.next_due_us()
             if next_us is None:
@@ -261,7 +261,7 @@
 
 
 def replay(model: Model, path: Sequence[Step]) -> ModelState:
-    """Return the state at the end of a path. Raises UndecidedDraw if a step lacks the result of a random draw."""
+    """Return the state at the end of a path. Raises UndecidedDraw if a step has too few results of random draws."""
     state = ModelState(model)
     for step in path:
         state.apply(step)
--- a/ryepier/check/trace.py
+++ b/ryepier/check/trace.py
@@ -14,13 +14,16 @@
 
 DECISIONS_FOLDER = Path(balancer.__file__).parent
 DISPATCHER_FILE = "dispatcher.py"
-PASS_THROUGH_FUNCTIONS = ("handle", "_handle", "_dispatch")  # functions that only dispatch events, which charts omit
-MAX_FRAMES = 3  # stack frames that a chart shows for a decision
+PASS_THROUGH_FUNCTIONS = ("handle", "_handle", "_dispatch")  # charts omit these functions, which only dispatch events
+MAX_FRAMES = 3  # number of stack frames that a chart shows for a decision
 INDENT = " " * 22  # width of the time column
 
 
 def calling_lines(depth: int) -> str:
-    """Return the lines of the code under test on the call stack, innermost first. `depth` frames are skipped."""
+    """Return the lines of the code under test on the call stack, innermost first.
+
+    The `depth` innermost frames, of which the first is the one of this function, are skipped.
+    """
     frame: FrameType | None = sys._getframe(depth)
     lines = []
     while frame is not None:
@@ -56,7 +59,7 @@
 
 
 def chart(model: Model, path: Sequence[Step], settle: bool = True) -> list[str]:
-    """Return the lines of a path's chart: the time of each step, the step, its effects, and the code behind them.
+    """Return the lines of a path's chart: for each step, its time, its effects, and the lines of code that caused them.
 
     With `settle`, a path that ends in a terminal state without violations is also checked for leaks.
     """
--- a/ryepier/sim/fleet/__init__.py
+++ b/ryepier/sim/fleet/__init__.py
@@ -1,5 +1,6 @@
-"""Discrete-event simulation of a fleet of balancers and model converters, without sockets.
+"""Discrete-event simulation of a fleet of balancers and modeled converters, without sockets.
 
-`world` has the fleet's parameters and the event loop, `converter` the model of a converter, `connections` the model of
-the sidecars' connections, and `choosers` the reference policies that the balancer is compared with.
+`world` has the fleet's parameters and the event loop, `converter` the model of a converter, and `connections` the model
+of the sidecars' connections. `choosers` has the load-balancing policies: the balancer, and reference policies with
+which it is compared.
 """
--- a/ryepier/sim/fleet/choosers.py
+++ b/ryepier/sim/fleet/choosers.py
@@ -22,7 +22,8 @@
 PolicyFactory = Callable[[api.Settings, int, int, Sequence[Converter]], BalancingPolicy]
 """Creates a policy from the settings, a seed, the time in microseconds and the converters.
 
-A balancer must ignore the converters, because a real sidecar cannot observe their state."""
+The converters are for reference policies: a balancer must ignore them, because a real sidecar cannot observe their
+state."""
 
 
 def make_balancer(settings: api.Settings, seed: int, now_us: int, converters: Sequence[Converter]) -> BalancingPolicy:
@@ -31,10 +32,10 @@
 
 
 class _ReferencePolicy:
-    """Base class of policies that send each request once, to a ready converter, and reject none."""
+    """Base class of policies that send each request exactly once, to a ready converter, and reject no request."""
 
     def __init__(self, seed: int, converters: Sequence[Converter]) -> None:
-        """Create a policy with an empty endpoint list. `converters` lets subclasses read the real load."""
+        """Create a policy that knows no ready converters yet. Subclasses can read the real load from `converters`."""
         self.random = random.Random(seed)
         self.converters = {converter.ident: converter for converter in converters}
         self.ready_ids: list[int] = []
@@ -61,27 +62,27 @@
     """Chooses among the ready converters uniformly at random."""
 
     def choose(self) -> int:
-        """Return a random ready converter."""
+        """Return the id of a random ready converter."""
         return self.random.choice(self.ready_ids)
 
 
 class ShortestQueue(_ReferencePolicy):
-    """Chooses the ready converter with the fewest requests, which a real sidecar cannot know."""
+    """Chooses the ready converter with the fewest running and queued jobs, which a real sidecar cannot know."""
 
     def choose(self) -> int:
-        """Return a random one of the least loaded ready converters."""
+        """Return the id of the least loaded ready converter; ties are broken at random."""
         return min(self.ready_ids, key=lambda ident: (self.converters[ident].load, self.random.random()))
 
 
 def make_random_choice(
     settings: api.Settings, seed: int, now_us: int, converters: Sequence[Converter]
 ) -> BalancingPolicy:
-    """Create a `RandomChoice`."""
+    """Create a policy that chooses at random; `settings` and `now_us` are ignored."""
     return RandomChoice(seed, converters)
 
 
 def make_shortest_queue(
     settings: api.Settings, seed: int, now_us: int, converters: Sequence[Converter]
 ) -> BalancingPolicy:
-    """Create a `ShortestQueue`."""
+    """Create a policy that chooses by the real load; `settings` and `now_us` are ignored."""
     return ShortestQueue(seed, converters)
--- a/ryepier/sim/fleet/connections.py
+++ b/ryepier/sim/fleet/connections.py
@@ -10,10 +10,10 @@
     """Counts the connections that are open at one converter, and integrates them over time."""
 
     open_count: int = 0
-    opened_count: int = 0  # since the counts were reset
-    max_open_count: int = 0
+    opened_count: int = 0  # connections opened since the counts were reset
+    max_open_count: int = 0  # highest `open_count` since the counts were reset
     open_connection_us: int = 0  # integral of `open_count` over time, in connections times microseconds
-    last_change_us: int = 0
+    last_change_us: int = 0  # time up to which `open_connection_us` is integrated
 
     def record_change(self, now_us: int, delta: int) -> None:
         """Record that `delta` connections were opened at `now_us`, or closed if `delta` is negative."""
@@ -30,7 +30,7 @@
         self.max_open_count = self.open_count
 
     def mean_open(self, since_us: int, now_us: int) -> float:
-        """Return the mean number of open connections from `since_us`, when the counts were reset, to `now_us`."""
+        """Return the mean number of open connections from the reset of the counts at `since_us` to `now_us`."""
         return (self.open_connection_us + self.open_count * (now_us - self.last_change_us)) / max(1, now_us - since_us)
 
 
@@ -38,15 +38,15 @@
 class ConnectionPool:
     """One sidecar's connections to one converter.
 
-    Each request in flight uses a connection of its own. The connection that has been idle longest is reused first.
+    Each attempt in flight uses a connection of its own. The connection that has been idle longest is reused first.
     """
 
     counter: ConnectionCounter
-    idle_since_us: list[int] = field(default_factory=list)  # oldest first
+    idle_since_us: list[int] = field(default_factory=list)  # when each idle connection became idle, oldest first
     busy_count: int = 0
 
     def acquire(self, now_us: int) -> None:
-        """Take an idle connection for a request, or open a new one."""
+        """Take an idle connection for an attempt, or open a new connection."""
         if self.idle_since_us:
             self.idle_since_us.pop(0)
         else:
@@ -54,7 +54,7 @@
         self.busy_count += 1
 
     def release(self, now_us: int, reusable: bool) -> None:
-        """Return the connection of a request that has ended: idle if it is reusable, and closed otherwise."""
+        """Release the connection of an ended attempt: keep it as idle if it is reusable, and close it otherwise."""
         self.busy_count -= 1
         if reusable:
             self.idle_since_us.append(now_us)
--- a/ryepier/sim/fleet/converter.py
+++ b/ryepier/sim/fleet/converter.py
@@ -1,4 +1,4 @@
-"""Model of a converter: parallel workers with a FIFO queue in front of them, and counters."""
+"""Model of a converter: parallel workers that share a FIFO queue, and counters."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclass(slots=True)
 class Job:
-    """One attempt at a converter."""
+    """An attempt, as the converter that receives it processes it."""
 
     sidecar: int
     request: int
     attempt: int
-    work_us: int  # processing time on a warm converter
+    work_us: int  # processing time at the converter's full speed
     received_us: int
-    ended: bool = False  # the sidecar has its outcome, or has given up on it
+    ended: bool = False  # an outcome, possibly a timeout, has been reported to the sidecar
 
 
 @dataclass(slots=True)
@@ -28,10 +28,10 @@
     workers: int
     queue_limit: int
     up: bool = True
-    started_us: int = 0  # time of the last restart; 0: not restarted, and warm from the beginning
+    started_us: int = 0  # time of the last restart; 0: never restarted, and always at full speed
     running_jobs: list[Job] = field(default_factory=list)
     queued_jobs: deque[Job] = field(default_factory=deque)
-    arrival_times_us: list[int] = field(default_factory=list)  # arrival time of each request, including rejected ones
+    arrival_times_us: list[int] = field(default_factory=list)  # of all jobs, including rejected ones
     rejected_count: int = 0
     connection_counter: ConnectionCounter = field(default_factory=ConnectionCounter)
 
@@ -41,7 +41,7 @@
         return len(self.running_jobs) + len(self.queued_jobs)
 
     def receive(self, job: Job) -> bool:
-        """Queue a job, and return True; reject it and return False if the workers and the queue are full."""
+        """Queue a job and return True, or reject it and return False if all workers are busy and the queue is full."""
         self.arrival_times_us.append(job.received_us)
         if len(self.running_jobs) >= self.workers and len(self.queued_jobs) >= self.queue_limit:
             self.rejected_count += 1
@@ -59,7 +59,7 @@
         return None
 
     def stop(self) -> list[Job]:
-        """Mark the converter as down, and return its jobs, which are lost."""
+        """Mark the converter as down, discard its running and queued jobs, and return them."""
         lost_jobs = [*self.running_jobs, *self.queued_jobs]
         self.running_jobs.clear()
         self.queued_jobs.clear()
--- a/ryepier/sim/fleet/world.py
+++ b/ryepier/sim/fleet/world.py
@@ -13,8 +13,8 @@
 from ryepier.sim.fleet.converter import Converter, Job
 
 SECOND_US = 1_000_000
-START_US = 1_000 * SECOND_US  # start of each run; above 0 so that start times of converters are never negative
-REFUSAL_DELAY_US = 200  # until a converter that is down or full refuses an attempt
+START_US = 1_000 * SECOND_US  # start of each run; above 0, so that start times of converters are never negative
+REFUSAL_DELAY_US = 200  # time from sending an attempt to its refusal by a converter that is down or full
 IDLE_CHECK_US = SECOND_US  # interval at which idle connections are closed
 
 
@@ -22,33 +22,33 @@
 class Outage:
     """An outage of randomly chosen converters, which go down together and restart as new processes.
 
-    Times are microseconds since the start of the run.
+    `at_us` and `restart_at_us` are microseconds since the start of the run.
     """
 
     converters: int  # number of converters that go down
     at_us: int
-    notice_delay_us: int  # from the outage until the endpoint list omits the converters
+    notice_delay_us: int  # time from the outage to the removal of the converters from the endpoint list
     restart_at_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class FleetPlan:
-    """Parameters of a run: the fleet, its load and its outages. Times are microseconds since the start of the run."""
+    """Parameters of a run: the fleet, its load and its outages."""
 
     sidecars: int
     converters: int
     load: float  # offered load as a share of the capacity of all converters
     duration_us: int
     rate_exponent: float = 0.6  # exponent of the Zipf distribution of the load over the sidecars
-    workers: int = 4  # per converter
-    work_us: int = 100_000  # mean processing time of a request, which is exponentially distributed
-    queue_limit: int = 32  # queued requests of a converter above which it rejects
+    workers: int = 4  # jobs that a converter processes in parallel
+    work_us: int = 100_000  # mean of the exponentially distributed processing time of a request
+    queue_limit: int = 32  # maximum number of jobs in a converter's queue; it rejects further jobs
     objective_us: int = 600_000  # latency objective of the sidecars' request class
     deadline_us: int = 1_500_000
     idle_timeout_us: int = 5_000_000  # idle time after which a connection is closed
     max_attempts: int = 3
-    warm_up_us: int = 0
-    initial_capacity_share: float = 1.0
+    warm_up_us: int = 0  # time after a restart until a converter has its full speed
+    initial_capacity_share: float = 1.0  # speed right after a restart, as a share of the full speed
     overload_factor: float = 4.0
     overload_window_us: int = 1_000_000
     outages: tuple[Outage, ...] = ()
@@ -85,22 +85,22 @@
 
 @dataclass(slots=True)
 class Request:
-    """A request as its client observes it."""
+    """A request of a client, its attempts and its result."""
 
     sidecar: int
     arrived_us: int
     work_us: int
     jobs: list[Job] = field(default_factory=list)
-    ended_us: int = 0  # 0 = in flight
+    ended_us: int = 0  # 0: in flight
     served: bool = False
     rejected: bool = False
 
 
 class FleetWorld:
-    """The state of a simulated fleet, and its event queue. Each instance runs its plan once."""
+    """The state of a simulated fleet, and its event queue. `run` may be called only once."""
 
     def __init__(self, plan: FleetPlan, seed: int, factory: PolicyFactory = make_balancer) -> None:
-        """Create the fleet at `START_US`. `seed` determines the run; `factory` creates each sidecar's policy."""
+        """Create the fleet at `START_US`. `seed` seeds all random numbers; `factory` creates each sidecar's policy."""
         self.plan = plan
         self.factory = factory
         self.random = random.Random(seed)
@@ -112,7 +112,7 @@
         ]
         self.pools: dict[tuple[int, int], ConnectionPool] = {}  # by indexes of sidecar and converter
         self.requests: list[Request] = []
-        self.counts_reset_at_us = START_US
+        self.counts_reset_at_us = START_US  # when the connection counts were last reset
         self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._event_count = 0
 
@@ -122,7 +122,7 @@
         heapq.heappush(self._events, (at_us, self._event_count, action))
 
     def run(self, count_from_us: int = 0) -> None:
-        """Run the whole plan. The connection counts begin `count_from_us` after the start of the run."""
+        """Run the whole plan. The connection counts are reset `count_from_us` after the start of the run."""
         for index, rate_per_s in enumerate(self.plan.sidecar_rates_per_s()):
             self.deliver(index, self.full_list())
             self.schedule_arrival(index, rate_per_s)
@@ -179,7 +179,7 @@
             self.pool(sidecar, action.upstream).close_idle(self.now_us, self.now_us)
 
     def schedule_arrival(self, sidecar: int, rate_per_s: float) -> None:
-        """Schedule the next request of a sidecar's clients; arrivals form a Poisson process."""
+        """Schedule the next arrival of a request at a sidecar; the arrivals form a Poisson process."""
         gap_us = max(1, int(self.random.expovariate(rate_per_s) * SECOND_US))
         work_us = max(1, int(self.random.expovariate(1.0) * self.plan.work_us))
         self.schedule(self.now_us + gap_us, lambda: self.arrive(sidecar, rate_per_s, work_us))
@@ -204,14 +204,14 @@
     # Attempts
 
     def pool(self, sidecar: int, converter: int) -> ConnectionPool:
-        """Return the connection pool of a sidecar for a converter, created on first use."""
+        """Return the pool of a sidecar's connections to a converter, and create it on first use."""
         key = (sidecar, converter)
         if key not in self.pools:
             self.pools[key] = ConnectionPool(self.converters[converter].connection_counter)
         return self.pools[key]
 
     def send(self, sidecar: int, send: api.Send) -> None:
-        """Send an attempt to a converter, and schedule its refusal or timeout."""
+        """Send an attempt to a converter, and schedule its refusal, or its timeout if it has one."""
         request, converter = self.requests[send.request], self.converters[send.upstream]
         job = Job(sidecar, send.request, len(request.jobs), request.work_us, self.now_us)
         request.jobs.append(job)
@@ -239,13 +239,13 @@
     def finish_job(self, job: Job, converter: Converter) -> None:
         """Finish a job, and start queued jobs."""
         if job not in converter.running_jobs:
-            return  # the job was lost in an outage
+            return  # the job was lost when the converter stopped
         converter.running_jobs.remove(job)
         self.end_attempt(job, converter, api.Outcome.OK)
         self.start_jobs(converter)
 
     def end_attempt(self, job: Job, converter: Converter, outcome: api.Outcome) -> None:
-        """Report the end of an attempt to its sidecar. Only the first end of an attempt counts."""
+        """Report the outcome of an attempt to its sidecar, unless an outcome has already been reported."""
         if job.ended:
             return
         job.ended = True
@@ -263,13 +263,13 @@
     # Converters
 
     def capacity_share(self, converter: Converter) -> float:
-        """Return a converter's present speed as a share of its full speed."""
+        """Return a converter's current speed as a share of its full speed."""
         if converter.started_us == 0:
             return 1.0
         return self.plan.capacity_share(self.now_us - converter.started_us)
 
     def schedule_outage(self, outage: Outage) -> None:
-        """Choose random converters, and schedule their outage, its notice and their restart."""
+        """Choose random converters, and schedule their stop, their removal from the endpoint list and their restart."""
         converters = self.random.sample(self.converters, outage.converters)
         self.schedule(START_US + outage.at_us, lambda: self.stop_converters(converters))
         self.schedule(START_US + outage.at_us + outage.notice_delay_us, lambda: self.announce_removal(converters))
--- a/ryepier/sim/link.py
+++ b/ryepier/sim/link.py
@@ -1,4 +1,4 @@
-"""Links between simulated hosts, and pipes. A pipe is one direction of a TCP connection with a receive window."""
+"""Links between simulated hosts, and pipes, each of which is one direction of a TCP connection over a link."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 
 RECEIVE_WINDOW_BYTES = 64 * 1024
 MAX_SEGMENT_BYTES = 1460
-# Minimum time between two segments of a pipe. asyncio does not order timers that are due at the same time.
+# Minimum time between two segments of a pipe. It keeps them in order: asyncio does not order timers that are due at the
+# same time.
 MIN_SEGMENT_SPACING_S = 1e-9
 # An empty context: segments in transit belong to no process, so they arrive even if their sender is killed.
 NETWORK_CONTEXT = contextvars.Context()
@@ -24,7 +25,7 @@
 class Link:
     """The network path from one host to another, in one direction."""
 
-    latency_range_s: tuple[float, float] = (0.000_05, 0.000_2)  # sampled uniformly for each segment
+    latency_range_s: tuple[float, float] = (0.000_05, 0.000_2)  # minimum and maximum; sampled uniformly per segment
     partitioned: bool = False
     delayed_deliveries: list[Delivery] = field(default_factory=list)  # segments held back until the partition heals
 
@@ -50,18 +51,18 @@
     """One direction of a connection.
 
     Segments arrive in order, each after the link's latency. The sender buffers data that exceeds the receive window. A
-    partition delays segments until it heals and loses none, because TCP would retransmit them.
+    partition does not drop segments but delays them until it heals, because TCP would retransmit them.
     """
 
     def __init__(self, network: PipeNetwork, link: Link) -> None:
         """Create an open pipe without data. `reader` must be set before data arrives, or the data is discarded."""
         self.network = network
         self.link = link
-        self.send_buffer = bytearray()  # written, but not sent because the window is full
+        self.send_buffer = bytearray()  # data not sent yet because the receive window is full
         self.received_segments: deque[bytes] = deque()  # segments that the reader has not read yet
         self.reader: PipeReader | None = None
-        self.eof_requested = False  # the writer has closed; the end of the stream follows the send buffer
-        self.has_received_eof = False  # the end of the stream has arrived at the reader
+        self.eof_requested = False  # the end of the stream is to be sent after the buffered data
+        self.has_received_eof = False  # the end of the stream has arrived
         self._in_flight_bytes = 0
         self._unread_bytes = 0
         self._eof_sent = False
@@ -73,9 +74,9 @@
         self.push()
 
     def push(self) -> None:
-        """Send as much buffered data as the window allows, and the end of the stream once the buffer is empty.
+        """Send as much buffered data as the receive window allows, and, once the buffer is empty, a requested EOF.
 
-        Segments have the maximum size, except a random `split_share` of them, which are shorter.
+        Segments have the maximum size, except that each one is cut at a random length with probability `split_share`.
         """
         random = self.network.random
         while self.send_buffer and self._in_flight_bytes + self._unread_bytes < RECEIVE_WINDOW_BYTES:
@@ -91,7 +92,7 @@
             self.send(self._receive_eof)
 
     def send(self, deliver: Delivery) -> None:
-        """Call `deliver` after the link's latency, and after everything that was sent earlier."""
+        """Call `deliver` after the link's latency, and after all earlier deliveries of this pipe."""
         loop = self.network.loop
         latency_s = self.network.random.uniform(*self.link.latency_range_s)
         arrival_s = max(self._last_arrival_s + MIN_SEGMENT_SPACING_S, loop.now_s + latency_s)
@@ -118,7 +119,7 @@
             self.reader.on_data()
 
     def read(self) -> bytes:
-        """Return the next received segment and free its part of the window. `received_segments` must not be empty."""
+        """Return the next segment, and free its share of the receive window. `received_segments` must not be empty."""
         segment = self.received_segments.popleft()
         self._unread_bytes -= len(segment)
         self.push()
--- a/ryepier/sim/loop.py
+++ b/ryepier/sim/loop.py
@@ -11,13 +11,13 @@
 
 from ryepier.errors import RyepierError
 
-MAX_ITERATIONS_PER_INSTANT = 100_000  # loop iterations without an advance of the virtual time, before the run fails
+MAX_ITERATIONS_PER_INSTANT = 100_000  # loop iterations at the same virtual time, above which the run fails
 CLOCK_RESOLUTION_S = 1e-9
-MAX_HANDLES_IN_ERROR = 3  # ready callbacks that an error message lists
+MAX_HANDLES_IN_ERROR = 3  # number of ready callbacks that an error message lists
 
 
 class NoProgressError(RyepierError):
-    """The run cannot end: nothing is scheduled, or callbacks keep running without an advance of the virtual time."""
+    """The run cannot end: nothing is scheduled, or callbacks keep running while the virtual time does not advance."""
 
 
 class _VirtualSelector:
@@ -43,7 +43,7 @@
         self._selector = _VirtualSelector(self)
         self._clock_resolution = CLOCK_RESOLUTION_S
         self.now_s = 0.0
-        self.failures: list[str] = []  # exceptions of callbacks and tasks that no code handled
+        self.failures: list[str] = []  # descriptions of unhandled exceptions in callbacks and tasks
         self._iterations = 0
         self.set_exception_handler(self._record_failure)
 
@@ -52,21 +52,24 @@
         return self.now_s
 
     def call_at_run_time(self, when_s: float, callback: Any, *args: Any, context: contextvars.Context) -> None:
-        """Schedule a callback at a virtual time of the run, whatever rate the running process's clock has."""
+        """Schedule a callback at a time of the run's clock, regardless of the clock rate of the running process."""
         asyncio.BaseEventLoop.call_at(self, when_s, callback, *args, context=context)
 
     def advance(self, timeout: float | None) -> None:
         """Advance the virtual time to the next timer instead of waiting for `timeout` seconds.
 
-        A `timeout` of 0 means that a callback is ready or a timer is due, and does not advance the time. None means
-        that nothing is scheduled. Raises NoProgressError in that case, and after too many iterations at one time.
+        If `timeout` is 0, a callback is ready or a timer is due, and the time does not advance. If it is None, nothing
+        is scheduled. Raises NoProgressError if nothing is scheduled, or after `MAX_ITERATIONS_PER_INSTANT` iterations
+        at the same virtual time.
         """
         if timeout is None:
-            raise NoProgressError(f"at {self.now_s:.6f} s nothing is due any more, but the run has not ended")
+            raise NoProgressError(f"at {self.now_s:.6f} s nothing is due, but the run has not ended")
         if timeout <= 0:
             self._iterations += 1
             if self._iterations > MAX_ITERATIONS_PER_INSTANT:
-                raise NoProgressError(f"time does not advance beyond {self.now_s:.6f} s: {self._ready_callbacks()}")
+                raise NoProgressError(
+                    f"time does not advance beyond {self.now_s:.6f} s; ready callbacks: {self._ready_callbacks()}"
+                )
             return
         self._iterations = 0
         scheduled: list[asyncio.TimerHandle] = self._scheduled  # type: ignore[attr-defined]
@@ -78,7 +81,7 @@
         return ", ".join(repr(handle) for handle in ready)
 
     def _record_failure(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """Record an exception that no code handled; `simulate` then fails the run."""
+        """Record an unhandled exception, for which `simulate` fails the run."""
         error = context.get("exception")
         # asyncio calls this without an exception when a pending task is garbage-collected, which happens only to the
         # tasks of killed processes.
--- a/ryepier/sim/network.py
+++ b/ryepier/sim/network.py
@@ -10,12 +10,12 @@
 from ryepier.sim.sockets import Address, SimSocket
 from ryepier.sim.transport import SimTransport
 
-EPHEMERAL_PORT_BASE = 40_000  # the first ephemeral port is the next number
+EPHEMERAL_PORT_BASE = 40_000  # ephemeral ports are assigned upwards from 40001
 DEFAULT_SPLIT_SHARE = 0.1  # share of the segments that are cut at a random length
 
 
 def _complete(future: asyncio.Future[None], error: Exception | None = None) -> None:
-    """Complete a future with a result or an error, unless it is already done, e.g. cancelled."""
+    """Complete a future with None or with an error, unless it is already done, e.g. cancelled."""
     if future.done():
         return
     if error is None:
@@ -28,7 +28,7 @@
     """A server on a listening socket, with the methods of asyncio's `Server` that the callers use."""
 
     def __init__(self, sock: SimSocket) -> None:
-        """Wrap a listening socket, which `close` closes."""
+        """Create a server on a listening socket; it starts to serve at once."""
         self.sockets = [sock]
 
     def close(self) -> None:
@@ -60,7 +60,7 @@
         self._last_port = EPHEMERAL_PORT_BASE
 
     def kill(self, process: str) -> None:
-        """Close the sockets of a process as the kernel does after SIGKILL: without calling the process's code."""
+        """Close the sockets of a process without calling the process's code, as the kernel does after SIGKILL."""
         for sock in [sock for sock in self.sockets if sock.process == process]:
             if isinstance(sock.transport, SimTransport):
                 sock.transport.closed = sock.transport.closing = True
@@ -69,11 +69,11 @@
             sock.close()
 
     def link(self, source: str, target: str) -> Link:
-        """Return the link from one host to another, created on first use."""
+        """Return the link from the host `source` to the host `target`, and create it on first use."""
         return self.links.setdefault((source, target), Link())
 
     def partition(self, source: str, target: str) -> None:
-        """Hold back everything from `source` to `target` until `heal`; the other direction is not affected."""
+        """Delay all segments from `source` to `target` until `heal` is called. The other direction is not affected."""
         self.link(source, target).partitioned = True
 
     def heal(self, source: str, target: str) -> None:
@@ -102,8 +102,8 @@
     async def connect(self, sock: SimSocket, address: Address, source: str = "127.0.0.1") -> None:
         """Connect a socket from the host `source`.
 
-        Raises ConnectionRefusedError without a listener. Does not return while the link is partitioned, and never if
-        the listener's backlog is full, so callers need a timeout.
+        Raises ConnectionRefusedError if no socket listens on the address. Does not return while a link between the
+        hosts is partitioned, and never returns if the listener's backlog is full, so callers need a timeout.
         """
         forward, reverse = self.link(source, address[0]), self.link(address[0], source)
         connected_future: asyncio.Future[None] = self.loop.create_future()
@@ -114,7 +114,10 @@
     def _on_syn(
         self, sock: SimSocket, address: Address, forward: Link, reverse: Link, connected_future: asyncio.Future[None]
     ) -> None:
-        """Handle a connection request at its target: establish it, refuse it, or drop it if the backlog is full."""
+        """Handle a connection request at the target host.
+
+        Refuses it if no socket listens, and ignores it if the backlog is full or the connecting socket is closed.
+        """
         listener, reply = self.listeners.get(address), Pipe(self, reverse)
         if listener is None:
             reply.send(lambda: _complete(connected_future, ConnectionRefusedError(f"connection refused by {address}")))
--- a/ryepier/sim/process.py
+++ b/ryepier/sim/process.py
@@ -11,21 +11,21 @@
 
 Sockets, timers and tasks belong to the process whose code creates them."""
 
-ROUNDING_MARGIN_S = 1e-9  # added to timers, so that rounding cannot fire them early by their process's clock
+ROUNDING_MARGIN_S = 1e-9  # added to due times, so that rounding never fires a timer before its time
 
 
 @dataclass(slots=True)
 class Clocks:
     """The clocks of one process.
 
-    The monotonic clock may run at another rate than the run's clock, but never jumps. The wall clock may also be set
-    to any time.
+    The monotonic clock may run at another rate than the run's clock, but never jumps. The wall clock runs at the same
+    rate as the monotonic clock, and may also be set to any time.
     """
 
-    rate: float = 1.0  # of the monotonic clock, relative to the run's clock
-    rate_change_run_s: float = 0.0  # run's clock when the rate was last set
-    rate_change_process_s: float = 0.0  # monotonic clock of the process at that time
-    wall_offset_s: float = 0.0  # wall clock minus monotonic clock, apart from the fixed epoch
+    rate: float = 1.0  # rate of the monotonic clock, relative to the run's clock
+    rate_change_run_s: float = 0.0  # time of the run's clock when the rate was last set
+    rate_change_process_s: float = 0.0  # time of the monotonic clock when the rate was last set
+    wall_offset_s: float = 0.0  # wall clock minus monotonic clock, both since the start of the run
 
     def process_time_s(self, run_s: float) -> float:
         """Return the time of the monotonic clock when the run's clock shows `run_s`."""
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class SuspendedCallbacks:
-    """Callbacks of a suspended process, run when it is resumed: first those that were ready, in their order."""
+    """Callbacks that a process runs once it is resumed: first the ready ones in their order, then due timers."""
 
     ready_handles: list[Any] = field(default_factory=list)
     timer_handles: list[Any] = field(default_factory=list)
--- a/ryepier/sim/run.py
+++ b/ryepier/sim/run.py
@@ -1,4 +1,4 @@
-"""Runs a coroutine with virtual time and the simulated network instead of the machine's clocks and network."""
+"""Runs a coroutine with virtual time and the simulated network in place of the machine's clocks and network."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 
 class SimulationError(RyepierError):
-    """A callback or a task failed with an exception that no code handled."""
+    """A callback or a task of the run raised an exception that no code handled."""
 
 
 def _process_of(handle: Any) -> str:
-    """Return the name of the process that a callback belongs to; "" if none."""
+    """Return the name of the process to which a callback belongs, or "" if it belongs to none."""
     process: str = handle._context.get(CURRENT_PROCESS, "")
     return process
 
@@ -49,18 +49,18 @@
         """Create a loop at time 0 without processes; `seed` seeds the network's random numbers."""
         super().__init__()
         self.network = Network(self, seed)
-        self.clocks: dict[str, Clocks] = {}  # by process; only processes whose clocks differ from the run's
-        self._readers: dict[int, SimSocket] = {}  # listening sockets with a reader callback, by id()
+        self.clocks: dict[str, Clocks] = {}  # by process name; only processes whose clocks were changed
+        self._readers: dict[int, SimSocket] = {}  # listening sockets that have a reader callback, by `id(socket)`
         self._killed_processes: set[str] = set()  # names of killed processes
         # References to the tasks of killed processes. If these tasks were garbage-collected, their `finally` blocks
         # would run at a time that depends on the collector, and runs with the same seed would differ.
         self._retained_tasks: list[set[asyncio.Task[Any]]] = []
-        self._suspended_callbacks: dict[str, SuspendedCallbacks] = {}
+        self._suspended_callbacks: dict[str, SuspendedCallbacks] = {}  # by names of suspended processes
 
     # Processes
 
     def kill(self, process: str) -> None:
-        """Kill a process: cancel its callbacks and timers, run none of its tasks again, and close its sockets."""
+        """Kill a process: cancel its callbacks and timers, never run its tasks again, and close its sockets."""
         self._suspended_callbacks.pop(process, None)
         self._killed_processes.add(process)
         self._retained_tasks.append(asyncio.all_tasks(self))
@@ -97,7 +97,7 @@
         self._reschedule_timers(timers)
 
     def shift_wall_clock(self, process: str, by_s: float) -> None:
-        """Set a process's wall clock forward, or back if `by_s` is negative."""
+        """Set a process's wall clock forward by `by_s` seconds, or back if `by_s` is negative."""
         self.clocks.setdefault(process, Clocks()).wall_offset_s += by_s
 
     def _remove_timers(self, process: str) -> list[Any]:
@@ -109,7 +109,8 @@
             scheduled[:] = [handle for handle in scheduled if id(handle) not in ids]
             heapq.heapify(scheduled)
             for handle in timers:
-                handle._scheduled = False  # else cancelling it would count as a cancelled timer in the heap
+                # If the timer were cancelled later, asyncio would otherwise count a cancelled timer in the heap.
+                handle._scheduled = False
         return sorted(timers, key=lambda handle: float(handle._when))
 
     def _reschedule_timers(self, timers: list[Any]) -> None:
@@ -137,8 +138,8 @@
         return self.now_s if clocks is None else clocks.process_time_s(self.now_s) + clocks.wall_offset_s
 
     def call_soon(self, callback: Any, *args: Any, context: Any = None) -> Any:  # type: ignore[override]
-        """Schedule a callback as asyncio does, but cancel it for a killed process and defer it for a suspended one."""
-        if self.is_closed():  # the run has ended, and objects of killed processes are garbage-collected
+        """Schedule a callback, but cancel it if its process was killed, and defer it while its process is suspended."""
+        if self.is_closed():  # after the run, garbage collection of killed processes' objects may still call this
             return asyncio.Handle(callback, args, self, context)
         handle = super().call_soon(callback, *args, context=context)
         process = _process_of(handle) if self._killed_processes or self._suspended_callbacks else ""
@@ -195,7 +196,7 @@
         return SimServer(sock)
 
     def _make_connection(self, sock: SimSocket, factory: ProtocolFactory) -> _Connection:
-        """Create a transport and its protocol. As in asyncio, `connection_made` is called in the next iteration."""
+        """Create a transport and its protocol. As in asyncio, the next iteration calls `connection_made`."""
         protocol = factory()
         transport = SimTransport(sock, protocol)
         self.call_soon(transport.start)
@@ -206,7 +207,7 @@
         await asyncio.sleep(0)
         return connection.transport, connection.protocol
 
-    # Reader callbacks on listening sockets, as the sidecar's front end uses them
+    # Reader callbacks of listening sockets, with which the sidecar accepts connections
 
     def add_reader(self, fd: Any, callback: Any, *args: Any) -> None:  # type: ignore[override]
         """Call `callback` whenever the listening socket `fd` has pending connections."""
@@ -214,7 +215,7 @@
         def on_readable() -> None:
             if id(fd) in self._readers and fd.pending_connections:
                 callback(*args)
-                if fd.pending_connections:  # the callback need not accept all pending connections at once
+                if fd.pending_connections:  # the callback may leave some connections pending
                     self.call_soon(on_readable)
 
         self._readers[id(fd)] = fd
@@ -245,8 +246,8 @@
 def simulate(seed: int, main: Callable[[SimLoop], Awaitable[T]]) -> T:
     """Run the coroutine that `main` returns in a new simulation, and return its result.
 
-    Raises the coroutine's exceptions, NoProgressError if it cannot end, and SimulationError if a callback or a task
-    failed with an exception that no code handled.
+    Raises the coroutine's exceptions, NoProgressError if the run cannot end, and SimulationError if a callback or a
+    task raised an exception that no code handled.
     """
     loop = SimLoop(seed)
     try:
@@ -261,7 +262,7 @@
 
 
 def _close(loop: SimLoop) -> None:
-    """Cancel the remaining tasks, and close the loop."""
+    """Cancel the remaining tasks, run the loop once so that they handle the cancellation, and close it."""
     for task in asyncio.all_tasks(loop):
         task.cancel()
     with contextlib.suppress(NoProgressError):
--- a/ryepier/sim/sockets.py
+++ b/ryepier/sim/sockets.py
@@ -24,10 +24,10 @@
 
 
 class SocketTransport(Protocol):
-    """The transport that reads from a socket."""
+    """The methods of a transport that its socket calls."""
 
     def schedule_read(self) -> None:
-        """Read in the loop's next iteration."""
+        """Read received data in the loop's next iteration."""
 
     def lose_connection(self, error: Exception | None) -> None:
         """Close the socket and report the loss of the connection to the protocol."""
@@ -54,7 +54,7 @@
         self.was_reset = False
         self.listening = False
         self.backlog = 0
-        self.pending_connections: deque[SimSocket] = deque()  # established connections that are waiting to be accepted
+        self.pending_connections: deque[SimSocket] = deque()  # established, but not accepted yet
         self.on_readable: Callable[[], None] | None = None
         self.context: contextvars.Context | None = None  # the context in which `on_readable` runs
         self._resets_on_close = False
@@ -89,7 +89,8 @@
     def recv(self, size: int, flags: int = 0) -> bytes:
         """Return received data without consuming it.
 
-        Raises BlockingIOError if there is none, ConnectionResetError after a reset, and OSError without MSG_PEEK.
+        Returns b"" at the end of the stream. Raises BlockingIOError if no data has arrived, ConnectionResetError after
+        a reset, and OSError if `flags` lack MSG_PEEK.
         """
         if not flags & socket.MSG_PEEK:
             raise OSError("the simulated recv supports only MSG_PEEK")
@@ -103,14 +104,17 @@
         raise BlockingIOError
 
     def accept(self) -> tuple[SimSocket, Address]:
-        """Accept a pending connection, and return its socket and the peer's address. Raises BlockingIOError if none."""
+        """Return the socket and the peer's address of a pending connection. Raises BlockingIOError if there is none."""
         if not self.pending_connections:
             raise BlockingIOError
         sock = self.pending_connections.popleft()
         return sock, sock.peer_address
 
     def close(self) -> None:
-        """Close the socket as a kernel does: with a reset if there is unread data, and otherwise with an end."""
+        """Close the socket as a kernel does.
+
+        Sends a reset if received data is unread or SO_LINGER is set, and otherwise the end of the stream.
+        """
         if self.closed:
             return
         self.closed = True
--- a/ryepier/sim/transport.py
+++ b/ryepier/sim/transport.py
@@ -9,9 +9,9 @@
 from ryepier.sim.link import Pipe
 from ryepier.sim.sockets import SimSocket
 
-HIGH_WATER_BYTES = 64 * 1024  # asyncio's default
-LOW_WATER_DIVISOR = 4  # asyncio's default ratio of high to low water
-DRAIN_POLL_INTERVAL_S = 0.001  # interval at which a paused writer checks the send buffer
+HIGH_WATER_BYTES = 64 * 1024  # send buffer size above which the protocol is paused; asyncio's default
+LOW_WATER_DIVISOR = 4  # ratio of the high-water to the low-water mark; asyncio's default
+DRAIN_POLL_INTERVAL_S = 0.001  # interval at which a paused transport checks its send buffer
 
 
 class SimTransport(asyncio.Transport):
@@ -23,7 +23,7 @@
         self.sock = sock
         self.loop = sock.network.loop
         self.closing = False
-        self.closed = False  # the socket is closed; only `connection_lost` may still be called
+        self.closed = False  # the socket is closed; the protocol only gets `connection_lost` from now on
         self._protocol = protocol
         self._high_water_bytes = HIGH_WATER_BYTES
         self._reading_paused = False
@@ -34,7 +34,7 @@
         sock.transport = self
 
     def start(self) -> None:
-        """Call the protocol's `connection_made`, and then start to read, in the same order as asyncio."""
+        """Call the protocol's `connection_made`, and start to read after that, as asyncio does."""
         self._protocol.connection_made(self)
         self.schedule_read()
 
@@ -90,7 +90,7 @@
     # Writing
 
     def write(self, data: Any) -> None:
-        """Send or buffer data, and ignore it if the connection is closed. Raises RuntimeError after `write_eof`."""
+        """Send or buffer data, or discard it if the connection is closed. Raises RuntimeError after `write_eof`."""
         if self.closed or self.closing or not data:
             return
         if self._outbound.eof_requested:
@@ -130,11 +130,11 @@
             self._outbound.push()
 
     def get_write_buffer_size(self) -> int:
-        """Return the number of bytes written but not sent."""
+        """Return the number of bytes that have been written but not sent."""
         return len(self.sock.outbound.send_buffer) if self.sock.outbound is not None else 0
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Set the buffer size above which the protocol is paused. `low` is ignored: it is a quarter of `high`."""
+        """Set the buffer size above which writing is paused. `low` is ignored, and a quarter of `high` is used."""
         self._high_water_bytes = HIGH_WATER_BYTES if high is None else high
 
     # Closing
@@ -144,7 +144,7 @@
         return self.closing or self.closed
 
     def close(self) -> None:
-        """Stop reading and writing, and close the socket, which sends the data written so far."""
+        """Stop reading and writing, and close the socket. Data that has already been written is still sent."""
         if not self.closing:
             self.closing = True
             self.loop.call_soon(self.lose_connection, None)
--- a/tests/sim_trace.py
+++ b/tests/sim_trace.py
@@ -1,7 +1,7 @@
 """Runs the real sidecar in simulation for each seed given as an argument.
 
-Prints a line per seed: the seed, a hash of the traffic, and the number of served requests. There are four converters,
-of which one resets some connections and one drains. The sidecar learns the endpoints from a watch on discovery.
+Prints a line per seed: the seed, a hash of the traffic, and the number of served requests. One of the four converters
+resets some connections, and another one is drained. The sidecar learns the endpoints from a watch on discovery.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 class Scenario:
-    """One simulated run: converters, discovery, a sidecar and its clients."""
+    """A simulated run with converters, discovery, a sidecar and its clients."""
 
     def __init__(self, loop: SimLoop, seed: int, folder: Path) -> None:
         self.loop = loop
--- a/tests/test_model_checking.py
+++ b/tests/test_model_checking.py
@@ -1,4 +1,4 @@
-"""Tests of the model checker: small models violate no rule, and each seeded fault violates its rule."""
+"""Tests of the model checker: a small model violates no rule, and each seeded fault violates the expected rule."""
 
 from __future__ import annotations
 
@@ -94,5 +94,6 @@
         replay(Model("m", 1, ("ask",)), [ARRIVE, Step(Action.ANSWER, 0, "ok")])
     unreached = dict(line_coverage.unreached_functions(executed))
     assert "ryepier.sidecar.dispatcher: RequestDispatcher._on_overdue" in unreached
-    assert "ryepier.sidecar.dispatcher: RequestDispatcher.on_request" in unreached  # only the lines that call observers
+    # `on_request` is executed except for the lines that call observers.
+    assert "ryepier.sidecar.dispatcher: RequestDispatcher.on_request" in unreached
     assert len(unreached["ryepier.sidecar.dispatcher: RequestDispatcher.on_request"]) < 3
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -25,7 +25,10 @@
 
 
 def read_write_transport(writer: asyncio.StreamWriter) -> asyncio.Transport:
-    """Return the transport of a connection, whose reading can be paused."""
+    """Return the transport of a connection as an `asyncio.Transport`.
+
+    `StreamWriter.transport` is typed as a `WriteTransport`, which lacks `pause_reading` and `resume_reading`.
+    """
     assert isinstance(writer.transport, asyncio.Transport)
     return writer.transport
 
@@ -110,7 +113,7 @@
                 observed.append("silence")
 
         await connect()
-        sock = loop.network.listen(ADDRESS, 1)  # no process accepts its connections
+        sock = loop.network.listen(ADDRESS, 1)  # no code accepts the connections from this socket
         await connect()
         await connect()
         sock.close()
@@ -206,7 +209,7 @@
     seeds = " ".join(map(str, range(20)))
     first, second = run_sim_trace(seeds, "1"), run_sim_trace(seeds, "2")
     assert first == second and len(first) == 20
-    assert len({line.split()[1] for line in first}) == 20  # a different trace for each seed
+    assert len({line.split()[1] for line in first}) == 20  # each seed has a different hash
     assert all(int(line.split()[2]) > 150 for line in first)
 
 
@@ -214,7 +217,7 @@
 
 
 def start_process(loop: SimLoop, process: str, work: Awaitable[None]) -> asyncio.Task[None]:
-    """Start `work` as a simulated process."""
+    """Run `work` in a task that belongs to the simulated process named `process`."""
     context = contextvars.copy_context()
     context.run(CURRENT_PROCESS.set, process)
 
@@ -240,7 +243,8 @@
         start_process(loop, "one", work())
         await asyncio.sleep(0.7)
         loop.suspend("one")
-        _, writer = await asyncio.open_connection(*ADDRESS)  # the kernel accepts it although the process is suspended
+        # The kernel establishes connections even while the process is suspended.
+        _, writer = await asyncio.open_connection(*ADDRESS)
         writer.write(b"hello\n")
         await asyncio.sleep(2.3)
         assert observed == [(0.5, "timer 0")]
@@ -283,7 +287,7 @@
         await asyncio.sleep(1.0)
         loop.set_rate("one", 2.0)
         await asyncio.sleep(5.0)
-        assert round(loop.time(), 6) == 6.0  # the clock outside the process is not affected
+        assert round(loop.time(), 6) == 6.0  # the run's clock is not affected
         return observed
 
     assert simulate(1, main) == [(1.5, 2.0), (2.5, 4.0)]
