--- a/ryepier/sim/run.py
+++ b/ryepier/sim/run.py
@@ -1,4 +1,4 @@
-"""Runs a coroutine with virtual time and the simulated network instead of the machine's clocks and network."""
+"""Runs a coroutine with virtual time and the simulated network in place of the machine's clocks and network."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 
 class SimulationError(RyepierError):
-    """A callback or a task failed with an exception that no code handled."""
+    """A callback or a task of the run raised an exception that no code handled."""
 
 
 def _process_of(handle: Any) -> str:
-    """Return the name of the process that a callback belongs to; "" if none."""
+    """Return the name of the process to which a callback belongs, or "" if it belongs to none."""
     process: str = handle._context.get(CURRENT_PROCESS, "")
     return process
 
@@ -49,20 +49,20 @@
         """Create a loop at time 0 without processes; `seed` seeds the network's random numbers."""
         super().__init__()
         self.network = Network(self, seed)
-        self.clocks: dict[str, Clocks] = {}  # by process; only processes whose clocks differ from the run's
-        self._readers: dict[int, SimSocket] = {}  # listening sockets with a reader callback, by id()
-        self._killed: set[str] = set()  # names of killed processes
+        self.clocks: dict[str, Clocks] = {}  # by process name; only processes whose clocks were changed
+        self._readers: dict[int, SimSocket] = {}  # listening sockets that have a reader callback, by `id(socket)`
+        self._killed_processes: set[str] = set()  # names of killed processes
         # References to the tasks of killed processes. If these tasks were garbage-collected, their `finally` blocks
         # would run at a time that depends on the collector, and runs with the same seed would differ.
         self._retained_tasks: list[set[asyncio.Task[Any]]] = []
-        self._suspended: dict[str, SuspendedCallbacks] = {}
+        self._suspended_callbacks: dict[str, SuspendedCallbacks] = {}  # by names of suspended processes
 
     # Processes
 
     def kill(self, process: str) -> None:
-        """Kill a process: cancel its callbacks and timers, run none of its tasks again, and close its sockets."""
-        self._suspended.pop(process, None)
-        self._killed.add(process)
+        """Kill a process: cancel its callbacks and timers, never run its tasks again, and close its sockets."""
+        self._suspended_callbacks.pop(process, None)
+        self._killed_processes.add(process)
         self._retained_tasks.append(asyncio.all_tasks(self))
         for handle in [*self._scheduled, *self._ready]:  # type: ignore[attr-defined]
             if _process_of(handle) == process:
@@ -71,20 +71,20 @@
 
     def suspend(self, process: str) -> None:
         """Suspend a process as SIGSTOP does: its code does not run, time passes, and arriving data is buffered."""
-        suspended = self._suspended.setdefault(process, SuspendedCallbacks())
+        suspended_callbacks = self._suspended_callbacks.setdefault(process, SuspendedCallbacks())
         ready: Any = self._ready  # type: ignore[attr-defined]
         for handle in [handle for handle in ready if _process_of(handle) == process]:
             ready.remove(handle)
-            suspended.ready.append(handle)
-        suspended.timers += self._remove_timers(process)
+            suspended_callbacks.ready_handles.append(handle)
+        suspended_callbacks.timer_handles += self._remove_timers(process)
 
     def resume(self, process: str) -> None:
         """Resume a process and run the callbacks that became due. Does nothing if the process was killed meanwhile."""
-        suspended = self._suspended.pop(process, None)
-        if suspended is None:
+        suspended_callbacks = self._suspended_callbacks.pop(process, None)
+        if suspended_callbacks is None:
             return
-        self._ready.extend(suspended.ready)  # type: ignore[attr-defined]
-        self._reschedule_timers(suspended.timers)
+        self._ready.extend(suspended_callbacks.ready_handles)  # type: ignore[attr-defined]
+        self._reschedule_timers(suspended_callbacks.timer_handles)
 
     def set_rate(self, process: str, rate: float) -> None:
         """Run a process's clocks at `rate` times the speed of the run's clock from now on."""
@@ -97,7 +97,7 @@
         self._reschedule_timers(timers)
 
     def shift_wall_clock(self, process: str, by_s: float) -> None:
-        """Set a process's wall clock forward, or back if `by_s` is negative."""
+        """Set a process's wall clock forward by `by_s` seconds, or back if `by_s` is negative."""
         self.clocks.setdefault(process, Clocks()).wall_offset_s += by_s
 
     def _remove_timers(self, process: str) -> list[Any]:
@@ -109,7 +109,8 @@
             scheduled[:] = [handle for handle in scheduled if id(handle) not in ids]
             heapq.heapify(scheduled)
             for handle in timers:
-                handle._scheduled = False  # else cancelling it would count as a cancelled timer in the heap
+                # If the timer were cancelled later, asyncio would otherwise count a cancelled timer in the heap.
+                handle._scheduled = False
         return sorted(timers, key=lambda handle: float(handle._when))
 
     def _reschedule_timers(self, timers: list[Any]) -> None:
@@ -137,16 +138,16 @@
         return self.now_s if clocks is None else clocks.process_time_s(self.now_s) + clocks.wall_offset_s
 
     def call_soon(self, callback: Any, *args: Any, context: Any = None) -> Any:  # type: ignore[override]
-        """Schedule a callback as asyncio does, but cancel it for a killed process and defer it for a suspended one."""
-        if self.is_closed():  # the run has ended, and objects of killed processes are garbage-collected
+        """Schedule a callback, but cancel it if its process was killed, and defer it while its process is suspended."""
+        if self.is_closed():  # after the run, garbage collection of killed processes' objects may still call this
             return asyncio.Handle(callback, args, self, context)
         handle = super().call_soon(callback, *args, context=context)
-        process = _process_of(handle) if self._killed or self._suspended else ""
-        if process in self._killed:
+        process = _process_of(handle) if self._killed_processes or self._suspended_callbacks else ""
+        if process in self._killed_processes:
             handle.cancel()
-        elif process in self._suspended:
+        elif process in self._suspended_callbacks:
             self._ready.pop()  # type: ignore[attr-defined]
-            self._suspended[process].ready.append(handle)
+            self._suspended_callbacks[process].ready_handles.append(handle)
         return handle
 
     def call_at(  # type: ignore[override]
@@ -157,7 +158,7 @@
         if clocks is not None:
             when = clocks.run_time_s(when)
         handle = super().call_at(when, callback, *args, context=context)
-        if self._killed and _process_of(handle) in self._killed:
+        if self._killed_processes and _process_of(handle) in self._killed_processes:
             handle.cancel()
         return handle
 
@@ -188,14 +189,14 @@
         sock = self.network.listen((host, port or 0), options.get("backlog", DEFAULT_BACKLOG))
 
         def accept() -> None:
-            while sock.pending:
+            while sock.pending_connections:
                 self._make_connection(sock.accept()[0], protocol_factory)
 
         sock.on_readable, sock.context = accept, contextvars.copy_context()
         return SimServer(sock)
 
     def _make_connection(self, sock: SimSocket, factory: ProtocolFactory) -> _Connection:
-        """Create a transport and its protocol. As in asyncio, `connection_made` is called in the next iteration."""
+        """Create a transport and its protocol. As in asyncio, the next iteration calls `connection_made`."""
         protocol = factory()
         transport = SimTransport(sock, protocol)
         self.call_soon(transport.start)
@@ -206,20 +207,20 @@
         await asyncio.sleep(0)
         return connection.transport, connection.protocol
 
-    # Reader callbacks on listening sockets, as the sidecar's front end uses them
+    # Reader callbacks of listening sockets, with which the sidecar accepts connections
 
     def add_reader(self, fd: Any, callback: Any, *args: Any) -> None:  # type: ignore[override]
         """Call `callback` whenever the listening socket `fd` has pending connections."""
 
         def on_readable() -> None:
-            if id(fd) in self._readers and fd.pending:
+            if id(fd) in self._readers and fd.pending_connections:
                 callback(*args)
-                if fd.pending:  # the callback need not accept all pending connections at once
+                if fd.pending_connections:  # the callback may leave some connections pending
                     self.call_soon(on_readable)
 
         self._readers[id(fd)] = fd
         fd.on_readable, fd.context = on_readable, contextvars.copy_context()
-        if fd.pending:
+        if fd.pending_connections:
             self.call_soon(on_readable)
 
     def remove_reader(self, fd: Any) -> bool:
@@ -245,8 +246,8 @@
 def simulate(seed: int, main: Callable[[SimLoop], Awaitable[T]]) -> T:
     """Run the coroutine that `main` returns in a new simulation, and return its result.
 
-    Raises the coroutine's exceptions, NoProgressError if it cannot end, and SimulationError if a callback or a task
-    failed with an exception that no code handled.
+    Raises the coroutine's exceptions, NoProgressError if the run cannot end, and SimulationError if a callback or a
+    task raised an exception that no code handled.
     """
     loop = SimLoop(seed)
     try:
@@ -261,7 +262,7 @@
 
 
 def _close(loop: SimLoop) -> None:
-    """Cancel the remaining tasks, and close the loop."""
+    """Cancel the remaining tasks, run the loop once so that they handle the cancellation, and close it."""
     for task in asyncio.all_tasks(loop):
         task.cancel()
     with contextlib.suppress(NoProgressError):
