--- a/ryepier/check/canonical.py
+++ b/ryepier/check/canonical.py
@@ -33,14 +33,14 @@
 def domain_preserving_permutations(model: Model) -> Iterator[Permutation]:
     """Yield the permutations of converters that preserve which converters share a failure domain."""
     ids = range(1, model.converters + 1)
-    for order in itertools.permutations(ids):
-        domains: dict[int, int] = {}
+    for permuted_ids in itertools.permutations(ids):
+        domain_mapping: dict[int, int] = {}
         is_consistent = all(
-            domains.setdefault(model.failure_domain(old), model.failure_domain(new)) == model.failure_domain(new)
-            for old, new in zip(ids, order, strict=True)
+            domain_mapping.setdefault(model.failure_domain(old), model.failure_domain(new)) == model.failure_domain(new)
+            for old, new in zip(ids, permuted_ids, strict=True)
         )
-        if is_consistent and len(set(domains.values())) == len(domains):
-            yield dict(zip(ids, order, strict=True))
+        if is_consistent and len(set(domain_mapping.values())) == len(domain_mapping):
+            yield dict(zip(ids, permuted_ids, strict=True))
 
 
 class _PermutedState:
--- a/ryepier/check/explore.py
+++ b/ryepier/check/explore.py
@@ -153,12 +153,12 @@
         chunks = [paths[begin : begin + CHUNK_SIZE] for begin in range(0, len(paths), CHUNK_SIZE)]
         for expansions in pool.map(_expand_all, [self.model] * len(chunks), chunks):
             for expansion in expansions:
-                self._add(expansion)
+                self._add_expansion(expansion)
         self.progress.depth += 1
         self.progress.states = len(self.seen_digests)
         self.progress.seconds = self._previous_seconds + self.elapsed_s
 
-    def _add(self, expansion: Expansion) -> None:
+    def _add_expansion(self, expansion: Expansion) -> None:
         progress = self.progress
         progress.transitions += expansion.transitions
         progress.terminal_states += expansion.terminal_states
--- a/ryepier/check/seeded_faults.py
+++ b/ryepier/check/seeded_faults.py
@@ -82,10 +82,10 @@
     """Treat a request as not executed by the converter if its attempt was reset."""
     not_executed_outcomes = (api.Outcome.REJECTED, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT, api.Outcome.RESET)
 
-    def first_attempt_not_reset(self: PendingRequest) -> Attempt | None:
+    def first_attempt_treated_as_executed(self: PendingRequest) -> Attempt | None:
         return next((attempt for attempt in self.attempts if attempt.outcome not in not_executed_outcomes), None)
 
-    PendingRequest.first_attempt_that_may_have_run = first_attempt_not_reset  # type: ignore[method-assign]
+    PendingRequest.first_attempt_that_may_have_run = first_attempt_treated_as_executed  # type: ignore[method-assign]
 
 
 def any_failure_domain() -> None:
@@ -145,14 +145,14 @@
     """Allow one attempt more than `max_attempts`."""
     may_send = RetryPolicy.may_send
 
-    def may_send_more(self: RetryPolicy, request: PendingRequest, now_us: int) -> bool:
+    def may_send_one_more(self: RetryPolicy, request: PendingRequest, now_us: int) -> bool:
         self.settings.max_attempts += 1
         try:
             return may_send(self, request, now_us)
         finally:
             self.settings.max_attempts -= 1
 
-    def send_more(self: RequestDispatcher, action: api.Send) -> None:
+    def send_one_more(self: RequestDispatcher, action: api.Send) -> None:
         self.settings.max_attempts += 1
         try:
             send(self, action)
@@ -160,8 +160,8 @@
             self.settings.max_attempts -= 1
 
     send = RequestDispatcher._send
-    RetryPolicy.may_send = may_send_more  # type: ignore[method-assign]
-    RequestDispatcher._send = send_more  # type: ignore[method-assign]
+    RetryPolicy.may_send = may_send_one_more  # type: ignore[method-assign]
+    RequestDispatcher._send = send_one_more  # type: ignore[method-assign]
 
 
 def failures_reported_as_rejections() -> None:
--- a/ryepier/check/state.py
+++ b/ryepier/check/state.py
@@ -166,7 +166,7 @@
         return {
             Action.ARRIVE: self._arrive,
             Action.DISCONNECT: self._disconnect,
-            Action.CONNECTED: self._connected,
+            Action.CONNECTED: self._establish_connection,
             Action.CONNECT_FAILED: lambda step: self._end_attempt(step.index, api.Outcome.CONNECT_FAILED),
             Action.ANSWER: lambda step: self._end_attempt(step.index, OUTCOMES[step.detail]),
             Action.DRAIN: lambda step: self._change_entry(step.index, api.UpstreamState.DRAINING),
@@ -194,7 +194,7 @@
         self.events.append(f"the client of request {step.index} disconnects")
         self.dispatcher.on_client_disconnected(client.ident)
 
-    def _connected(self, step: Step) -> None:
+    def _establish_connection(self, step: Step) -> None:
         self.events.append(f"attempt {step.index} is written")
         self.attempts[step.index].fully_written = True
 
--- a/ryepier/sim/loop.py
+++ b/ryepier/sim/loop.py
@@ -72,13 +72,13 @@
                 )
             return
         self._iterations = 0
-        scheduled: list[asyncio.TimerHandle] = self._scheduled  # type: ignore[attr-defined]
+        scheduled_timers: list[asyncio.TimerHandle] = self._scheduled  # type: ignore[attr-defined]
         # Use the time of the next timer, because adding up timeouts would accumulate rounding errors.
-        self.now_s = max(self.now_s, scheduled[0].when()) if scheduled else self.now_s + timeout
+        self.now_s = max(self.now_s, scheduled_timers[0].when()) if scheduled_timers else self.now_s + timeout
 
     def _ready_callbacks(self) -> str:
-        ready = list(self._ready)[:MAX_HANDLES_IN_ERROR]  # type: ignore[attr-defined]
-        return ", ".join(repr(handle) for handle in ready)
+        ready_handles = list(self._ready)[:MAX_HANDLES_IN_ERROR]  # type: ignore[attr-defined]
+        return ", ".join(repr(handle) for handle in ready_handles)
 
     def _record_failure(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         """Record an unhandled exception, for which `simulate` fails the run."""
--- a/ryepier/sim/network.py
+++ b/ryepier/sim/network.py
@@ -105,22 +105,29 @@
         Raises ConnectionRefusedError if no socket listens on the address. Does not return while a link between the
         hosts is partitioned, and never returns if the listener's backlog is full, so callers need a timeout.
         """
-        forward, reverse = self.link(source, address[0]), self.link(address[0], source)
+        forward_link, reverse_link = self.link(source, address[0]), self.link(address[0], source)
         connected_future: asyncio.Future[None] = self.loop.create_future()
         sock.local_address, sock.peer_address = (source, self._next_port()), address
-        Pipe(self, forward).send(lambda: self._on_syn(sock, address, forward, reverse, connected_future))
+        Pipe(self, forward_link).send(lambda: self._on_syn(sock, address, forward_link, reverse_link, connected_future))
         await connected_future
 
     def _on_syn(
-        self, sock: SimSocket, address: Address, forward: Link, reverse: Link, connected_future: asyncio.Future[None]
+        self,
+        sock: SimSocket,
+        address: Address,
+        forward_link: Link,
+        reverse_link: Link,
+        connected_future: asyncio.Future[None],
     ) -> None:
         """Handle a connection request at the target host.
 
         Refuses it if no socket listens, and ignores it if the backlog is full or the connecting socket is closed.
         """
-        listener, reply = self.listeners.get(address), Pipe(self, reverse)
+        listener, reply_pipe = self.listeners.get(address), Pipe(self, reverse_link)
         if listener is None:
-            reply.send(lambda: _complete(connected_future, ConnectionRefusedError(f"connection refused by {address}")))
+            reply_pipe.send(
+                lambda: _complete(connected_future, ConnectionRefusedError(f"connection refused by {address}"))
+            )
             return
         if len(listener.pending_connections) >= listener.backlog or sock.closed:
             return
@@ -128,9 +135,9 @@
         accepted_sock.process = listener.process
         accepted_sock.local_address, accepted_sock.peer_address = address, sock.local_address
         sock.peer_socket, accepted_sock.peer_socket = accepted_sock, sock
-        sock.outbound = accepted_sock.inbound = Pipe(self, forward)
-        sock.inbound = accepted_sock.outbound = Pipe(self, reverse)
+        sock.outbound = accepted_sock.inbound = Pipe(self, forward_link)
+        sock.inbound = accepted_sock.outbound = Pipe(self, reverse_link)
         sock.inbound.reader, accepted_sock.inbound.reader = sock, accepted_sock
         listener.pending_connections.append(accepted_sock)
         listener.on_data()
-        reply.send(lambda: _complete(connected_future))
+        reply_pipe.send(lambda: _complete(connected_future))
--- a/ryepier/sim/run.py
+++ b/ryepier/sim/run.py
@@ -72,9 +72,9 @@
     def suspend(self, process: str) -> None:
         """Suspend a process as SIGSTOP does: its code does not run, time passes, and arriving data is buffered."""
         suspended_callbacks = self._suspended_callbacks.setdefault(process, SuspendedCallbacks())
-        ready: Any = self._ready  # type: ignore[attr-defined]
-        for handle in [handle for handle in ready if _process_of(handle) == process]:
-            ready.remove(handle)
+        ready_handles: Any = self._ready  # type: ignore[attr-defined]
+        for handle in [handle for handle in ready_handles if _process_of(handle) == process]:
+            ready_handles.remove(handle)
             suspended_callbacks.ready_handles.append(handle)
         suspended_callbacks.timer_handles += self._remove_timers(process)
 
@@ -90,9 +90,9 @@
         """Run a process's clocks at `rate` times the speed of the run's clock from now on."""
         clocks = self.clocks.setdefault(process, Clocks())
         timers = self._remove_timers(process)
-        due_process_s = [clocks.process_time_s(handle._when) for handle in timers]
+        due_times_process_s = [clocks.process_time_s(handle._when) for handle in timers]
         clocks.set_rate(self.now_s, rate)
-        for handle, process_s in zip(timers, due_process_s, strict=True):
+        for handle, process_s in zip(timers, due_times_process_s, strict=True):
             handle._when = clocks.run_time_s(process_s)
         self._reschedule_timers(timers)
 
@@ -102,22 +102,22 @@
 
     def _remove_timers(self, process: str) -> list[Any]:
         """Remove a process's timers from the schedule, and return them sorted by time."""
-        scheduled: list[Any] = self._scheduled  # type: ignore[attr-defined]
-        timers = [handle for handle in scheduled if _process_of(handle) == process and not handle._cancelled]
+        scheduled_handles: list[Any] = self._scheduled  # type: ignore[attr-defined]
+        timers = [handle for handle in scheduled_handles if _process_of(handle) == process and not handle._cancelled]
         if timers:
             ids = set(map(id, timers))
-            scheduled[:] = [handle for handle in scheduled if id(handle) not in ids]
-            heapq.heapify(scheduled)
+            scheduled_handles[:] = [handle for handle in scheduled_handles if id(handle) not in ids]
+            heapq.heapify(scheduled_handles)
             for handle in timers:
                 # If the timer were cancelled later, asyncio would otherwise count a cancelled timer in the heap.
                 handle._scheduled = False
         return sorted(timers, key=lambda handle: float(handle._when))
 
     def _reschedule_timers(self, timers: list[Any]) -> None:
-        scheduled: list[Any] = self._scheduled  # type: ignore[attr-defined]
+        scheduled_handles: list[Any] = self._scheduled  # type: ignore[attr-defined]
         for handle in timers:
             if not handle._cancelled:
-                heapq.heappush(scheduled, handle)
+                heapq.heappush(scheduled_handles, handle)
                 handle._scheduled = True
 
     # Clocks and callbacks of the running process
--- a/tests/test_model_checking.py
+++ b/tests/test_model_checking.py
@@ -56,8 +56,8 @@
     model = Model("m", 2, ("ask", "ask"), outcomes=("ok",))
     digest = digester(model)
     paths = [[Step(Action.ARRIVE, 0, "", (draw,)), Step(Action.ARRIVE, 1)] for draw in (0, 1)]
-    first, second = (digest(replay(model, path[:1])) for path in paths)
-    assert first == second == digest(replay(model, paths[0][:1]))
+    first_digest, second_digest = (digest(replay(model, path[:1])) for path in paths)
+    assert first_digest == second_digest == digest(replay(model, paths[0][:1]))
     shared_domain_model = Model("m", 2, ("cell", "cell"), failure_domains=(1, 1))
     assert digester(shared_domain_model)(replay(shared_domain_model, [Step(Action.ARRIVE, 0, "", (0,))])) != digester(
         shared_domain_model
@@ -78,7 +78,7 @@
         explore.explore(MODELS["cells"], processes=2, checkpoint=checkpoint)
 
 
-def test_a_chart_names_the_deciding_lines_and_a_malformed_file_is_rejected(tmp_path: Path) -> None:
+def test_charts_name_the_lines_that_send_attempts_and_malformed_files_are_rejected(tmp_path: Path) -> None:
     lines = trace.chart(Model("m", 1, ("ask",), outcomes=("reset", "ok")), [ARRIVE, Step(Action.ANSWER, 0, "reset")])
     assert any("send by balancer.py:" in line and "place" in line for line in lines)
     path = tmp_path / "path.json"
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -47,9 +47,9 @@
         await asyncio.sleep(10_000)
         return observed
 
-    started_s = time.monotonic()
+    started_at_s = time.monotonic()
     assert simulate(1, main) == [0.5, 3600.0, 7200.0]
-    assert time.monotonic() - started_s < 5
+    assert time.monotonic() - started_at_s < 5
 
 
 def test_segments_arrive_in_order_and_a_half_close_leaves_the_other_direction_open() -> None:
@@ -76,10 +76,12 @@
 def test_closing_sends_a_reset_if_data_is_unread_and_an_eof_otherwise() -> None:
     async def main(loop: SimLoop) -> list[str]:
         observed = []
-        for unread in (False, True):
+        for leave_unread in (False, True):
 
-            async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, unread: bool = unread) -> None:
-                if not unread:
+            async def serve(
+                reader: asyncio.StreamReader, writer: asyncio.StreamWriter, leave_unread: bool = leave_unread
+            ) -> None:
+                if not leave_unread:
                     await reader.readexactly(2 * RECEIVE_WINDOW_BYTES)
                 read_write_transport(writer).pause_reading()
                 await asyncio.sleep(1.0)
@@ -138,8 +140,8 @@
         loop.call_later(30.0, loop.network.heal, ADDRESS[0], "127.0.0.1")
         return (await reader.readexactly(4), loop.time())[::-1]
 
-    received_s, reply = simulate(1, main)
-    assert reply == b"ping" and received_s >= 30.0
+    received_at_s, reply = simulate(1, main)
+    assert reply == b"ping" and received_at_s >= 30.0
 
 
 def test_a_full_receive_window_holds_back_the_sender() -> None:
@@ -207,10 +209,10 @@
 
 def test_the_real_sidecar_behaves_identically_in_every_process() -> None:
     seeds = " ".join(map(str, range(20)))
-    first, second = run_sim_trace(seeds, "1"), run_sim_trace(seeds, "2")
-    assert first == second and len(first) == 20
-    assert len({line.split()[1] for line in first}) == 20  # each seed has a different hash
-    assert all(int(line.split()[2]) > 150 for line in first)
+    first_lines, second_lines = run_sim_trace(seeds, "1"), run_sim_trace(seeds, "2")
+    assert first_lines == second_lines and len(first_lines) == 20
+    assert len({line.split()[1] for line in first_lines}) == 20  # each seed has a different hash
+    assert all(int(line.split()[2]) > 150 for line in first_lines)
 
 
 # Processes
