--- a/ryepier/check/explore.py
+++ b/ryepier/check/explore.py
@@ -21,7 +21,7 @@
 from ryepier.check.state import ModelState, replay
 
 CHUNK_SIZE = 64  # number of paths that a worker process expands per task
-MAX_STATES = 3_000_000  # limit of an exploration; the digests of that many states take about 300 MB
+MAX_STATES = 3_000_000  # an exploration stops above this; the digests take about 300 MB then
 Steps = tuple[Step, ...]
 FaultInstaller = Callable[[], None]
 
--- a/ryepier/check/formats.py
+++ b/ryepier/check/formats.py
@@ -1,6 +1,6 @@
 """File formats of the checker: checkpoints of explorations (MessagePack) and recorded paths (JSON).
 
-Some keys in the files are earlier names of fields, which the code has renamed since. This module maps keys to names.
+Some keys in the files are former names of fields, which the code has renamed. This module maps keys to names.
 """
 
 from __future__ import annotations
--- a/ryepier/check/invariants.py
+++ b/ryepier/check/invariants.py
@@ -30,7 +30,8 @@
         yield Violation(Rule.ATTEMPTS, f"attempt {len(client.attempts) + 1} exceeds the limit of {model.max_attempts}")
     if client.disconnected or client.answers:
         yield Violation(Rule.RESEND, f"attempt {sent.number} of a request that has already ended")
-    if upstream_states[sent.upstream] is not api.UpstreamState.READY:  # the protocol still allows this for 500 ms
+    # This is stricter than the protocol, which allows 500 ms until attempts must stop.
+    if upstream_states[sent.upstream] is not api.UpstreamState.READY:
         text = f"attempt {sent.number} to converter {sent.upstream}, which is not ready"
         yield Violation(Rule.DRAIN, text)
 
--- a/ryepier/check/line_coverage.py
+++ b/ryepier/check/line_coverage.py
@@ -43,14 +43,14 @@
 class Method:
     """A method of a class that is defined in one of `MODULES`."""
 
-    name: str  # with the name of the class
+    name: str  # class name and method name
     code: CodeType
 
 
 class UnreachedFunction(NamedTuple):
     """A function that was not executed completely."""
 
-    name: str  # with the names of the module and the class
+    name: str  # module name, class name and method name
     lines: list[int]  # line numbers that were not executed
 
 
--- a/ryepier/sim/fleet/choosers.py
+++ b/ryepier/sim/fleet/choosers.py
@@ -84,5 +84,5 @@
 def make_shortest_queue(
     settings: api.Settings, seed: int, now_us: int, converters: Sequence[Converter]
 ) -> BalancingPolicy:
-    """Create a policy that chooses by the real load; `settings` and `now_us` are ignored."""
+    """Create a policy that chooses the converter with the fewest jobs; `settings` and `now_us` are ignored."""
     return ShortestQueue(seed, converters)
--- a/ryepier/sim/fleet/converter.py
+++ b/ryepier/sim/fleet/converter.py
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class Job:
-    """An attempt, as the converter that receives it processes it."""
+    """The work of one attempt at a converter."""
 
     sidecar: int
     request: int
@@ -31,7 +31,7 @@
     started_us: int = 0  # time of the last restart; 0: never restarted, and always at full speed
     running_jobs: list[Job] = field(default_factory=list)
     queued_jobs: deque[Job] = field(default_factory=deque)
-    arrival_times_us: list[int] = field(default_factory=list)  # of all jobs, including rejected ones
+    arrival_times_us: list[int] = field(default_factory=list)  # arrival times of all jobs, including rejected jobs
     rejected_count: int = 0
     connection_counter: ConnectionCounter = field(default_factory=ConnectionCounter)
 
--- a/ryepier/sim/fleet/world.py
+++ b/ryepier/sim/fleet/world.py
@@ -26,9 +26,9 @@
     """
 
     converters: int  # number of converters that go down
-    at_us: int
+    at_us: int  # time at which the converters go down
     notice_delay_us: int  # time from the outage to the removal of the converters from the endpoint list
-    restart_at_us: int
+    restart_at_us: int  # time at which the converters restart
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
     rate_exponent: float = 0.6  # exponent of the Zipf distribution of the load over the sidecars
     workers: int = 4  # jobs that a converter processes in parallel
     work_us: int = 100_000  # mean of the exponentially distributed processing time of a request
-    queue_limit: int = 32  # maximum number of jobs in a converter's queue; it rejects further jobs
+    queue_limit: int = 32  # maximum number of queued jobs of a converter, which rejects further jobs
     objective_us: int = 600_000  # latency objective of the sidecars' request class
     deadline_us: int = 1_500_000
     idle_timeout_us: int = 5_000_000  # idle time after which a connection is closed
@@ -110,7 +110,7 @@
         self.sidecars = [
             factory(plan.settings(index), seeds[index], START_US, self.converters) for index in range(plan.sidecars)
         ]
-        self.pools: dict[tuple[int, int], ConnectionPool] = {}  # by indexes of sidecar and converter
+        self.pools: dict[tuple[int, int], ConnectionPool] = {}  # by sidecar index and converter id
         self.requests: list[Request] = []
         self.counts_reset_at_us = START_US  # when the connection counts were last reset
         self._events: list[tuple[int, int, Callable[[], None]]] = []
--- a/ryepier/sim/link.py
+++ b/ryepier/sim/link.py
@@ -27,7 +27,7 @@
 
     latency_range_s: tuple[float, float] = (0.000_05, 0.000_2)  # minimum and maximum; sampled uniformly per segment
     partitioned: bool = False
-    delayed_deliveries: list[Delivery] = field(default_factory=list)  # segments held back until the partition heals
+    delayed_deliveries: list[Delivery] = field(default_factory=list)  # deliveries postponed until the partition heals
 
 
 class PipeNetwork(Protocol):
@@ -61,8 +61,8 @@
         self.send_buffer = bytearray()  # data not sent yet because the receive window is full
         self.received_segments: deque[bytes] = deque()  # segments that the reader has not read yet
         self.reader: PipeReader | None = None
-        self.eof_requested = False  # the end of the stream is to be sent after the buffered data
-        self.has_received_eof = False  # the end of the stream has arrived
+        self.eof_requested = False  # whether the end of the stream follows the buffered data
+        self.has_received_eof = False  # whether the end of the stream has arrived
         self._in_flight_bytes = 0
         self._unread_bytes = 0
         self._eof_sent = False
@@ -74,7 +74,7 @@
         self.push()
 
     def push(self) -> None:
-        """Send as much buffered data as the receive window allows, and, once the buffer is empty, a requested EOF.
+        """Send as much buffered data as the receive window allows, and then the end of the stream if it was requested.
 
         Segments have the maximum size, except that each one is cut at a random length with probability `split_share`.
         """
--- a/ryepier/sim/network.py
+++ b/ryepier/sim/network.py
@@ -28,7 +28,7 @@
     """A server on a listening socket, with the methods of asyncio's `Server` that the callers use."""
 
     def __init__(self, sock: SimSocket) -> None:
-        """Create a server on a listening socket; it starts to serve at once."""
+        """Create a server on a socket that is already listening."""
         self.sockets = [sock]
 
     def close(self) -> None:
--- a/ryepier/sim/process.py
+++ b/ryepier/sim/process.py
@@ -11,7 +11,7 @@
 
 Sockets, timers and tasks belong to the process whose code creates them."""
 
-ROUNDING_MARGIN_S = 1e-9  # added to due times, so that rounding never fires a timer before its time
+ROUNDING_MARGIN_S = 1e-9  # added to due times, so that rounding errors cannot fire a timer early
 
 
 @dataclass(slots=True)
--- a/ryepier/sim/run.py
+++ b/ryepier/sim/run.py
@@ -109,7 +109,7 @@
             scheduled_handles[:] = [handle for handle in scheduled_handles if id(handle) not in ids]
             heapq.heapify(scheduled_handles)
             for handle in timers:
-                # If the timer were cancelled later, asyncio would otherwise count a cancelled timer in the heap.
+                # Otherwise, asyncio would count the timer as a cancelled timer in the heap if it is cancelled later.
                 handle._scheduled = False
         return sorted(timers, key=lambda handle: float(handle._when))
 
@@ -139,7 +139,7 @@
 
     def call_soon(self, callback: Any, *args: Any, context: Any = None) -> Any:  # type: ignore[override]
         """Schedule a callback, but cancel it if its process was killed, and defer it while its process is suspended."""
-        if self.is_closed():  # after the run, garbage collection of killed processes' objects may still call this
+        if self.is_closed():  # garbage collection of killed processes' objects may call this after the run
             return asyncio.Handle(callback, args, self, context)
         handle = super().call_soon(callback, *args, context=context)
         process = _process_of(handle) if self._killed_processes or self._suspended_callbacks else ""
--- a/ryepier/sim/transport.py
+++ b/ryepier/sim/transport.py
@@ -23,7 +23,7 @@
         self.sock = sock
         self.loop = sock.network.loop
         self.closing = False
-        self.closed = False  # the socket is closed; the protocol only gets `connection_lost` from now on
+        self.closed = False  # the socket is closed, so that nothing is read or written any more
         self._protocol = protocol
         self._high_water_bytes = HIGH_WATER_BYTES
         self._reading_paused = False
