--- a/ryepier/balancer/outlier_detection.py
+++ b/ryepier/balancer/outlier_detection.py
@@ -142,7 +142,7 @@
                 self.presume_lost(other)
 
     def observe_queue_headroom(self, attempt: Attempt, elapsed_us: int) -> bool:
-        """Record an ended attempt. Returns whether it was rejected by an upstream whose queue is not full.
+        """Record an attempt's outcome. Returns whether an upstream with headroom in its queue rejected it.
 
         Requests that a full upstream accepts wait in its queue, so its answers are slow. An upstream that
         rejects one class and answers the others fast has headroom in its queue. It keeps its slots, and is
--- a/ryepier/balancer/tuning.py
+++ b/ryepier/balancer/tuning.py
@@ -24,7 +24,9 @@
 UNANSWERED_WINDOW = 16  # attempts of a class in the moving average of an upstream's unanswered share
 UNANSWERED_TOLERANCE = 0.1  # share of unanswered attempts at which the selection weight is a quarter
 REJECTION_TOLERANCE = 0.1  # share of rejections of a class at which the selection weight is half
-MAX_QUEUE_HEADROOM = 8  # rejections in a row, after fast answers, until an upstream counts as full
+# Limit of the fast answers that count as headroom. Each rejection uses up one of them, so after 8 rejections
+# in a row an upstream counts as full, however many fast answers it gave before.
+MAX_QUEUE_HEADROOM = 8
 EJECTION_TIMEOUT_STREAK = 3  # unanswered attempts of a class in a row that eject an upstream for the class
 MAX_TIMEOUT_STREAK = 5  # unanswered attempts in a row; longer streaks do not prolong the ejection
 # If a class would eject a larger share of the upstreams, the whole fleet is slow, and none is ejected.
--- a/ryepier/experiments/maintenance/overlap.py
+++ b/ryepier/experiments/maintenance/overlap.py
@@ -25,7 +25,9 @@
 from ryepier.maintenance.problem import Job, SchedulingProblem
 
 MAX_UNAVAILABLE = 8
-MIN_ALLOWANCE = 3  # of an allowance of 4; with less, the region that requests first would get most of the capacity
+# Each region starts with an allowance of 4. If a region could give away more than 1 of it, the region that requests
+# first would get most of the capacity.
+MIN_ALLOWANCE = 3
 VALID_PER_REGION = 12  # requests, each for one converter
 MIN_UTILISATION = 0.8
 DURATION_MS = 2_500  # of the window of one converter; an agent needs less, which leaves time for a late release
--- a/ryepier/maintenance/tables.py
+++ b/ryepier/maintenance/tables.py
@@ -80,7 +80,7 @@
 
 
 class TransferEvent(enum.StrEnum):
-    """An event that changes or repeats the state of a transfer, at its giver or at its receiver."""
+    """An event of a transfer, at its giver or at its receiver. A repeated event leaves the state unchanged."""
 
     DEBIT = "debit"
     SEND = "send"
--- a/ryepier/plan/forwarder.py
+++ b/ryepier/plan/forwarder.py
@@ -225,7 +225,7 @@
                 connection.abort()
 
     async def send_reports_periodically(self) -> None:
-        """Send reports until the task is cancelled."""
+        """Send a report every `report_interval_s` until the task is cancelled."""
         # the first report is delayed by a random time, so that the forwarders do not all report at the same moment
         await asyncio.sleep(self.jitter_s(self.settings.report_interval_s))
         while True:
@@ -267,7 +267,7 @@
             self.publish_advice()
 
     async def publish_advice_periodically(self) -> None:
-        """Publish the advice periodically until the task is cancelled."""
+        """Publish the advice every `ADVICE_INTERVAL_S` until the task is cancelled."""
         while True:
             await asyncio.sleep(ADVICE_INTERVAL_S)
             self.publish_advice()
--- a/ryepier/plan/plan_follower.py
+++ b/ryepier/plan/plan_follower.py
@@ -128,7 +128,9 @@
             upstream_id = upstream_ids.get(uid)
             if upstream_id is None:
                 continue  # not listed by discovery; a plan can't add converters
-            # Forwarders take turns at trial requests, and end an ejection at different moments of the fade.
+            # Only some forwarders at a time send trial requests to an ejected converter. While a plan fades out, each
+            # forwarder ends the ejection at a different time, so that the converter does not get the traffic of all
+            # forwarders at once.
             ejected = (
                 entry.ejected
                 and not self.is_selected_for_trial(uid, plan, entry.trial_share)
--- a/tests/api_server_testbed.py
+++ b/tests/api_server_testbed.py
@@ -100,7 +100,7 @@
 
 @asynccontextmanager
 async def api_server_testbed(tls_context: ssl.SSLContext | None = None) -> AsyncIterator[ApiServerTestbed]:
-    """Run an emulated API server on a free port; stops the source and the server at the end."""
+    """Run an emulated API server on a free port. The source and the server are stopped when the context exits."""
     testbed = ApiServerTestbed()
     testbed.port = await testbed.api.listen("127.0.0.1", 0, tls_context)
     try:
--- a/tests/faulty_discovery.py
+++ b/tests/faulty_discovery.py
@@ -106,7 +106,7 @@
         return fault.behaviour if fault is not None else None
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve a call, or answer it with its fault."""
+        """Answer a call with the current fault, or with the endpoint list if there is none."""
         fault = self._current_fault()
         is_last_fault = len(self.call_times) == len(self.fault_order)
         try:
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -67,7 +67,7 @@
     try:
         graphlib.TopologicalSorter(graph).prepare()
     except graphlib.CycleError as error:
-        raise AssertionError(f"these import each other: {' <- '.join(error.args[1])}") from None
+        raise AssertionError(f"import cycle: {' <- '.join(error.args[1])}") from None
 
 
 def test_type_checking_imports_are_included() -> None:
@@ -206,7 +206,7 @@
 
 
 def test_log_page_lists_each_log_line_with_its_level() -> None:
-    # a text of "%s" alone forwards a line of the decision module or an `UnservedLine`, which the page lists separately
+    # the format "%s" logs a line of the decision module or an `UnservedLine`; the page lists those lines themselves
     unserved_line = ("request {} {} after {} of {} ms: {}", "info")
     logged_lines = {unserved_line} | {
         line
--- a/tests/test_simulation_search.py
+++ b/tests/test_simulation_search.py
@@ -41,7 +41,11 @@
 
 
 def test_history_does_not_depend_on_the_hash_seed() -> None:
-    """Some of these worlds have planners, EndpointSlices, GraphQL clients and the guard against retry storms."""
+    """Compare the histories of four worlds under two hash seeds.
+
+    The worlds of seeds 2 and 9 have planners and EndpointSlices, and those of seeds 3 and 343 have the guard against
+    retry storms.
+    """
     code = (
         "from ryepier.experiments.simulation import random_worlds, search\nfrom ryepier.emulator import simulated\n"
         "for seed in (2, 3, 9, 343): "
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -124,7 +124,8 @@
     harness.update_upstreams([Upstream(1, started_at_us=harness.now_us - 1_000), *upstreams(3)])
     serve_requests(harness, 150, duration_us=20_000)
     started_upstream_send_count = sum(1 for send in harness.sends() if send.upstream == 1)
-    # The upstream gets 9 by its guaranteed capacity, and more as it answers fast. An equal share would be 37.
+    # By its initial capacity share of 0.2, the upstream gets 150 * 0.2 / 3.2 = 9 requests, and more as it answers fast.
+    # An equal share would be 150 / 4 = 37 requests.
     assert 0 < started_upstream_send_count <= 15
 
 
