--- a/ryepier/emulator/client_connection.py
+++ b/ryepier/emulator/client_connection.py
@@ -26,7 +26,7 @@
 
     attempt: ClientAttempt
     closes_connection: bool
-    ended: bool
+    has_ended: bool
 
     def send(self, connection: ClientConnection) -> None:
         """Write the request to a connection that has been established."""
@@ -84,7 +84,7 @@
         """Send the request that the connection was opened for, unless it has ended meanwhile."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        if self.request is None or self.request.ended:
+        if self.request is None or self.request.has_ended:
             self.target.idle_connections.append(self)
         else:
             self.request.send(self)
--- a/ryepier/emulator/client_request.py
+++ b/ryepier/emulator/client_request.py
@@ -50,8 +50,8 @@
         self.target = target
         self.attempt = attempt
         self.closes_connection = closes_connection
-        self.ended = False
-        self._resent = False
+        self.has_ended = False
+        self._was_resent = False
         self._connection: ClientConnection | None = None
         self._timer: asyncio.TimerHandle | None = None
 
@@ -127,17 +127,17 @@
         attempt.may_be_unread = may_be_unread
         request_class = self.owner.world.classes[attempt.request_class]
         may_repeat = may_retry(request_class, RequestOutcome.BROKEN, attempt.sent_us, self.owner.clock.now_us())
-        if may_be_unread and not self._resent and may_repeat:
-            self._resent = True
+        if may_be_unread and not self._was_resent and may_repeat:
+            self._was_resent = True
             self.owner.spawn(self._connect())
         else:
             self.end(RequestOutcome.BROKEN)
 
     def end(self, outcome: RequestOutcome) -> None:
         """End the attempt; further calls have no effect."""
-        if self.ended:
+        if self.has_ended:
             return
-        self.ended = True
+        self.has_ended = True
         if self._timer is not None:
             self._timer.cancel()
         self.owner.on_ended(self.attempt, outcome)
--- a/ryepier/emulator/converter_connection.py
+++ b/ryepier/emulator/converter_connection.py
@@ -76,7 +76,7 @@
         self.transport: asyncio.Transport | None = None
         self.attempt: ConverterAttempt | None = None  # the attempt in flight
         self.last_data_us = 0
-        self.partitioned = False  # a zone partition dropped a request or response on this connection
+        self.is_partitioned = False  # a zone partition dropped a request or response on this connection
         self.record = ConnectionRecord(owner.uid, NEVER)
         self._reset_parser()
 
--- a/ryepier/emulator/converter_model.py
+++ b/ryepier/emulator/converter_model.py
@@ -63,7 +63,7 @@
     """The state of an idempotency key in the cache of a pod."""
 
     expires_us: int
-    finished: bool = False
+    is_finished: bool = False
     # repeats that arrived while the first request was running, as (converter, token)
     waiting_repeats: list[tuple[ConverterModel, int]] = field(default_factory=list)
 
@@ -88,7 +88,7 @@
         while self._expiries and self._expiries[0][0] <= now_us:
             expires_us, expired_key = self._expiries.popleft()
             entry = self.entries.get(expired_key)
-            if entry is not None and entry.expires_us == expires_us and entry.finished:
+            if entry is not None and entry.expires_us == expires_us and entry.is_finished:
                 del self.entries[expired_key]
         self.entries[key] = _CachedKey(now_us + window_us)
         self._expiries.append((now_us + window_us, key))
@@ -140,7 +140,7 @@
         if self._record_recent_work(now_us, work.work_us):
             return [*actions, Crashed()]
         entry = self.cache.get(now_us, work.key) if work.key else None
-        if entry is not None and entry.finished:
+        if entry is not None and entry.is_finished:
             return [*actions, Done(work.token, executed=False)]
         if entry is not None:
             entry.waiting_repeats.append((self, work.token))
@@ -217,7 +217,7 @@
         entry = self.cache.entries.get(work.key) if work.key else None
         if entry is None:
             return []
-        entry.finished = True
+        entry.is_finished = True
         own_tokens = [token for converter, token in entry.waiting_repeats if converter is self]
         self.cache.released_repeats += [
             (converter, token) for converter, token in entry.waiting_repeats if converter is not self
--- a/ryepier/emulator/converter_server.py
+++ b/ryepier/emulator/converter_server.py
@@ -109,7 +109,7 @@
         attempt = connection.attempt
         if attempt is None or not self._faults.affects(FaultKind.ZONE_CUT, attempt.request_id.encode("latin-1")):
             return False
-        connection.partitioned = True
+        connection.is_partitioned = True
         return True
 
     @property
@@ -157,7 +157,7 @@
         elif ended_fault is FaultKind.CUT:
             self._abort(list(self._connections))
         elif ended_fault is FaultKind.ZONE_CUT:
-            self._abort([connection for connection in self._connections if connection.partitioned])
+            self._abort([connection for connection in self._connections if connection.is_partitioned])
         if ended_fault in (FaultKind.REFUSE, FaultKind.CUT) and self._listener is None:
             await self.listen()
 
--- a/ryepier/emulator/discovery.py
+++ b/ryepier/emulator/discovery.py
@@ -104,8 +104,8 @@
         self.owner = owner
         self.sidecar = sidecar
         self.registry = Registry(listing)
-        self._muted = False
-        self._frozen = False  # changes are held back, and the list is served without them
+        self._is_muted = False
+        self._is_frozen = False  # changes are held back, and the list is served without them
         self._pending_changes: list[Entry] = []  # changes held back while the agent was muted, frozen or down
         self._server: asyncio.Server | None = None
         self._watches: dict[asyncio.StreamWriter, int] = {}  # the revision last sent on each watch
@@ -155,7 +155,7 @@
 
     def _write_changes(self, writer: asyncio.StreamWriter) -> None:
         """Write the changes since the revision last sent on a watch."""
-        if self._muted:
+        if self._is_muted:
             return
         listing = self.registry.changes_since(self._watches[writer])
         self._watches[writer] = self.registry.rev
@@ -175,7 +175,7 @@
 
     def send_heartbeat(self) -> None:
         """Write an empty line to each watch."""
-        if not self._muted:
+        if not self._is_muted:
             for writer in self._watches:
                 writer.write(HEARTBEAT)
 
@@ -184,9 +184,9 @@
         if step.action is FaultAction.NOTIFY and entry is not None:
             self._notify(entry)
         elif step.action is FaultAction.MUTE:
-            self._muted = True
+            self._is_muted = True
         elif step.action is FaultAction.FREEZE_LIST:
-            self._frozen = True
+            self._is_frozen = True
         elif step.action is FaultAction.DOWN and self._server is not None:
             self._server.close()
             self._server = None
@@ -197,14 +197,14 @@
             await self._recover()
 
     def _notify(self, entry: Entry) -> None:
-        if self._muted or self._frozen or self._server is None:
+        if self._is_muted or self._is_frozen or self._server is None:
             self._pending_changes.append(entry)
         elif self.registry.apply_change(entry):
             self._write_changes_to_all()
 
     async def _recover(self) -> None:
         """Serve normally again, and send the changes that were held back."""
-        self._muted = self._frozen = False
+        self._is_muted = self._is_frozen = False
         for entry in self._pending_changes:
             self.registry.apply_change(entry)
         self._pending_changes.clear()
--- a/ryepier/maintenance/agreement_validation.py
+++ b/ryepier/maintenance/agreement_validation.py
@@ -95,10 +95,10 @@
             first_paths.setdefault(name, path)
         return set(first_paths)
 
-    def _check_known(self, path: KeyPath, name: str, known: set[str], kind: str) -> None:
-        """Record a problem if `name` is not in `known`."""
-        if name not in known:
-            self._add_problem(path, f"unknown {kind} {name!r}; known are {', '.join(sorted(known)) or 'none'}")
+    def _check_known(self, path: KeyPath, name: str, known_names: set[str], kind: str) -> None:
+        """Record a problem if `name` is not in `known_names`."""
+        if name not in known_names:
+            self._add_problem(path, f"unknown {kind} {name!r}; known are {', '.join(sorted(known_names)) or 'none'}")
 
     def check_decimals(self) -> None:
         """Check that amounts are whole thousandths. `nan` fails the check too, because it equals no number."""
--- a/ryepier/maintenance/placement.py
+++ b/ryepier/maintenance/placement.py
@@ -237,8 +237,10 @@
         }
         limit = max(excesses, key=lambda candidate: excesses[candidate])
         excess = excesses[limit]
-        lost = self._lost_capacity(limit)
-        condition = f"while {format_capacity(lost)} is lost" if lost else "with nothing else out of service"
+        lost_capacity = self._lost_capacity(limit)
+        condition = (
+            f"while {format_capacity(lost_capacity)} is lost" if lost_capacity else "with nothing else out of service"
+        )
         reason = (
             f"{limit.name}: taking {converter.name!r} out of service exceeds it by "
             f"{format_capacity(excess)} {condition}"
--- a/ryepier/maintenance/replication/follower.py
+++ b/ryepier/maintenance/replication/follower.py
@@ -31,11 +31,11 @@
         state = self.state
         if state.role is Role.LEARNER:
             return
-        granted = request.term == state.term and self.may_vote_for(candidate) and self._is_up_to_date(request)
-        if granted:
+        is_granted = request.term == state.term and self.may_vote_for(candidate) and self._is_up_to_date(request)
+        if is_granted:
             state.set_hard_state(state.term, candidate, state.hard_state.recovered_at_term)
             state.restart_election_timer()
-        state.send(candidate, VoteResponse(state.term, granted))
+        state.send(candidate, VoteResponse(state.term, is_granted))
 
     def may_vote_for(self, candidate: str) -> bool:
         """Return whether this replica has not voted in the current term, or has voted for this candidate."""
--- a/tests/maintenance_cluster.py
+++ b/tests/maintenance_cluster.py
@@ -290,9 +290,9 @@
         """Send the region's pending transfers, and its capacity needs to all other regions."""
         self.send_transfers(region)
         ledger = self.ledger(region)
-        needs_report = RecordCapacityNeeds(region, ledger.applied, ledger.capacity_needs())
+        capacity_report = RecordCapacityNeeds(region, ledger.applied, ledger.capacity_needs())
         self.network += [
-            Message(other_region, needs_report) for other_region in self.replicas if other_region != region
+            Message(other_region, capacity_report) for other_region in self.replicas if other_region != region
         ]
 
     def deliver(self, position: int, *, keep_copy: bool = False) -> None:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -93,7 +93,7 @@
         return request, attempt
 
     request, attempt = asyncio.run(start_request())
-    assert attempt.sent_us != NEVER and not request.ended
+    assert attempt.sent_us != NEVER and not request.has_ended
 
 
 @asynccontextmanager
