--- a/ryepier/emulator/api_server.py
+++ b/ryepier/emulator/api_server.py
@@ -29,7 +29,7 @@
 DEFAULT_WATCH_S = "3600"
 TRUE_VALUES = ("1", "true", "True")
 GET = "GET"
-REASON_PHRASE = "X"  # any text: clients must not interpret it
+REASON_PHRASE = "X"  # arbitrary text, because clients must ignore the reason phrase
 
 
 @dataclass(slots=True)
@@ -42,7 +42,7 @@
     max_write_bytes: int = 0  # 0 = no limit
     write_pause_s: float = 0.0  # pause after each write, if `max_write_bytes` is set
     omits_bookmarks: bool = False  # watches receive no bookmarks
-    rejects_tokens: bool = False  # every token is rejected
+    rejects_tokens: bool = False  # all requests are rejected with 401, whatever their bearer token
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True)
 class Watch:
-    """An open watch. The events up to `version` have been written to it."""
+    """An open watch. All events up to `version` have been written to its connection."""
 
     writer: asyncio.StreamWriter
     namespace: str
@@ -98,7 +98,7 @@
         self.request_targets: list[str] = []  # targets of the requests received
         self._on_written = on_written or (lambda writer, objects, is_full_list: None)
         self._server: asyncio.Server | None = None
-        self._writers: dict[asyncio.StreamWriter, None] = {}  # in the order in which they were opened
+        self._writers: dict[asyncio.StreamWriter, None] = {}  # in the order in which the connections were opened
         self._change_event = asyncio.Event()  # set at each change, and then replaced by a new event
 
     async def listen(self, host: str, port: int, tls: ssl.SSLContext | None = None) -> int:
--- a/ryepier/emulator/api_store.py
+++ b/ryepier/emulator/api_store.py
@@ -18,7 +18,7 @@
 KIND, LIST_KIND = "EndpointSlice", "EndpointSliceList"
 API_VERSION = "discovery.k8s.io/v1"
 FIRST_VERSION = 1000
-ApiObject = dict[str, Any]  # a JSON object of the API
+ApiObject = dict[str, Any]  # an object of the Kubernetes API, in its JSON form
 
 
 class ApiError(RyepierError):
--- a/ryepier/emulator/client_connection.py
+++ b/ryepier/emulator/client_connection.py
@@ -32,7 +32,7 @@
         """Write the request to a connection that has been established."""
 
     def on_response(self, response: Response) -> None:
-        """Handle the response."""
+        """Record the response, and end the request."""
 
     def on_connection_lost(self, may_be_unread: bool) -> None:
         """Handle the end of the connection; with `may_be_unread`, the peer may not have read the request."""
@@ -67,7 +67,7 @@
         self.target = target
         self.request = request
         self.transport: asyncio.Transport | None = None
-        self.last_attempt: ClientAttempt | None = None  # the last attempt answered; None during a request
+        self.last_attempt: ClientAttempt | None = None  # the last answered attempt; None during a request
         self._response_count = 0
         self._reset_parser()
 
--- a/ryepier/emulator/client_request.py
+++ b/ryepier/emulator/client_request.py
@@ -35,13 +35,13 @@
         """Return how long the client waits for a response to the attempt after sending it."""
 
     def on_ended(self, attempt: ClientAttempt, outcome: RequestOutcome) -> None:
-        """Handle the end of the attempt."""
+        """Record how an attempt ended, and schedule a retry if one is allowed. Called once for each attempt."""
 
 
 class ClientRequest:
     """One attempt in flight.
 
-    It is sent a second time, at most once, if its reused connection ends before a response and a repeat is harmless.
+    If a reused connection ends before the response and a repeat is harmless, the attempt is sent once more.
     """
 
     def __init__(self, owner: RequestOwner, target: Target, attempt: ClientAttempt, closes_connection: bool) -> None:
--- a/ryepier/emulator/converter_connection.py
+++ b/ryepier/emulator/converter_connection.py
@@ -51,19 +51,19 @@
         """Whether a fault discards everything that is written."""
 
     def on_connected(self, connection: ConverterConnection) -> None:
-        """Handle a new connection."""
+        """Register a new connection, and account for its handshake."""
 
     def on_closed(self, connection: ConverterConnection) -> None:
-        """Handle the end of a connection."""
+        """Remove a connection that has ended."""
 
     def resets_before_request(self, request_id: bytes) -> bool:
         """Return whether a fault resets the connection once a request's headers have been received."""
 
     def on_probe(self, connection: ConverterConnection, target: bytes) -> None:
-        """Handle a health check or a request for the load report."""
+        """Answer a health check or a request for the load report."""
 
     def on_request(self, connection: ConverterConnection, request: ReceivedRequest) -> None:
-        """Handle a request."""
+        """Process or reject a request that has been received completely."""
 
 
 class ConverterConnection(asyncio.Protocol):
--- a/ryepier/emulator/converter_model.py
+++ b/ryepier/emulator/converter_model.py
@@ -95,7 +95,7 @@
 
 
 class ConverterModel:
-    """One process of a converter."""
+    """Models one process of a converter: its queue, running requests, warm-up and crash under overload."""
 
     def __init__(
         self,
@@ -106,7 +106,7 @@
         random: np.random.Generator,
         started_us: int | None,
     ) -> None:
-        """Start an idle converter. It warms up from `started_us` on; if that is None, it is already warm."""
+        """Start an idle converter. It warms up from `started_us` on, or is already warm if `started_us` is None."""
         self.machine = machine
         self.warm_up = warm_up
         self.reports = reports
@@ -135,7 +135,7 @@
         return initial_share + (1.0 - initial_share) * max(0, now_us - self.started_us) / warm_up_us
 
     def on_request(self, now_us: int, work: Work) -> list[Action]:
-        """Handle a request that has been received completely."""
+        """Queue, deduplicate or reject a request that has been received completely; it may crash the converter."""
         actions = self.advance(now_us)
         if self._record_recent_work(now_us, work.work_us):
             return [*actions, Crashed()]
--- a/ryepier/emulator/converters.py
+++ b/ryepier/emulator/converters.py
@@ -53,7 +53,7 @@
                 await self.start_instance(instance)
 
     async def start_instance(self, instance: Instance) -> None:
-        """Start one process of a converter."""
+        """Create the server of a converter process, and accept connections."""
         cache = self._caches.setdefault(instance.machine.pod, IdempotencyCache())
         server = self.servers[instance.index] = ConverterServer(self, instance, cache)
         await server.listen()
--- a/ryepier/emulator/discovery.py
+++ b/ryepier/emulator/discovery.py
@@ -109,7 +109,7 @@
         self._pending_changes: list[Entry] = []  # changes held back while the agent was muted, frozen or down
         self._server: asyncio.Server | None = None
         self._watches: dict[asyncio.StreamWriter, int] = {}  # the revision last sent on each watch
-        self._writers: dict[asyncio.StreamWriter, None] = {}  # in the order in which they were opened
+        self._writers: dict[asyncio.StreamWriter, None] = {}  # in the order in which the connections were opened
 
     async def listen(self) -> None:
         """Accept connections."""
@@ -226,7 +226,7 @@
     """The discovery agents of all sidecars of a run."""
 
     def __init__(self, plan: Plan, clock: Clock, timeline: Timeline) -> None:
-        """Create an agent for each sidecar: one of the platform, or an API server with EndpointSlices."""
+        """Create an agent for each sidecar: a discovery agent of the platform, or an API server with EndpointSlices."""
         self.plan = plan
         self.clock = clock
         self.timeline = timeline
--- a/ryepier/emulator/draws.py
+++ b/ryepier/emulator/draws.py
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """The sampled properties of a converter. The processes that replace it in a release have the same ones."""
+    """The sampled properties of a converter. All its processes, including replacements in a release, share them."""
 
     index: int
     group: Converters
--- a/ryepier/emulator/graphql.py
+++ b/ryepier/emulator/graphql.py
@@ -13,9 +13,9 @@
 from ryepier.emulator.world import Effect, RequestClass, World
 
 PATH = "/graphql"
-GET_EVERY = 3  # queries whose number is a multiple of this are sent with GET
-# in mutations whose number is a multiple of this, a letter of `mutation` is written as a JSON escape sequence,
-# which does not change the decoded text
+GET_EVERY = 3  # queries whose number is a multiple of GET_EVERY are sent with GET
+# in mutations whose number is a multiple of ESCAPED_EVERY, a letter of `mutation` is written as a JSON escape
+# sequence, which does not change the decoded text
 ESCAPED_EVERY = 7
 
 
--- a/ryepier/emulator/harness.py
+++ b/ryepier/emulator/harness.py
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class RoleProcess:
-    """One process of the emulator."""
+    """A running process of the emulator, and the file to which it writes its records."""
 
     name: str
     process: asyncio.subprocess.Process
--- a/ryepier/emulator/process.py
+++ b/ryepier/emulator/process.py
@@ -25,7 +25,7 @@
 SIDECAR_PORT = 9000
 PLANNER_PORT = 7400
 HOSTS_PER_SUBNET = 250
-DISCOVERY_SUBNET, SIDECAR_SUBNET, PLANNER_SUBNET = 252, 253, 254  # third octets; converters use lower ones
+DISCOVERY_SUBNET, SIDECAR_SUBNET, PLANNER_SUBNET = 252, 253, 254  # third octets; converters use lower values
 LATE_RESPONSE_MARGIN_S = 1.0  # the run continues this long after the last deadline, to record late responses
 
 
--- a/ryepier/emulator/records.py
+++ b/ryepier/emulator/records.py
@@ -37,7 +37,7 @@
 class ClientAttempt(msgspec.Struct, array_like=True):
     """One request that a client sent. Attempts with the same `arrival` are a first attempt and its retries."""
 
-    arrival: int  # index of the arrival that it belongs to
+    arrival: int  # index of the arrival that the attempt belongs to
     number: int  # 0 = the first attempt, 1 = its first retry, ...
     request_id: str
     key: str
--- a/ryepier/emulator/sidecar_processes.py
+++ b/ryepier/emulator/sidecar_processes.py
@@ -18,7 +18,7 @@
 from ryepier.emulator.timeline import FaultAction
 
 READY_TIMEOUT_S = 20.0
-READY_POLL_S = 0.01  # with more than `MAX_CONCURRENT_STARTS` sidecars, grows in proportion to their number
+READY_POLL_S = 0.01  # poll interval; with more than `MAX_CONCURRENT_STARTS` sidecars, proportional to their number
 MAX_CONCURRENT_STARTS = 24
 RESTARTS_PER_CORE = 0.5  # limit of concurrent restarts during a run, so that the emulator keeps its schedule
 USAGE_SAMPLE_S = 0.5
--- a/ryepier/emulator/simulated.py
+++ b/ryepier/emulator/simulated.py
@@ -32,7 +32,7 @@
 
 
 class Simulation:
-    """One run of a world in simulation."""
+    """Runs the emulator, sidecars and planners of a world once under virtual time, and collects their records."""
 
     def __init__(self, world: World, seed: int, folder: Path) -> None:
         """Prepare a run whose files go to `folder`. Raises HarnessError for a world that cannot be simulated."""
--- a/ryepier/emulator/slices.py
+++ b/ryepier/emulator/slices.py
@@ -19,7 +19,7 @@
 
 NAMESPACE, SERVICE = "default", "converters"
 PORTS = [{"name": "http", "port": CONVERTER_PORT, "protocol": "TCP"}]
-EXTRA_PREFIX = "extra"  # name prefix of slices that contradict the regular ones
+EXTRA_PREFIX = "extra"  # name prefix of slices that contradict the regular slices
 PERCENT = 100
 
 
@@ -58,7 +58,7 @@
     """The EndpointSlices of the service, as the EndpointSlice controller maintains them. This class is pure."""
 
     def __init__(self, store: Store, slice_size: int) -> None:
-        """Start without slices; each holds up to `slice_size` endpoints."""
+        """Start without slices; a slice holds up to `slice_size` endpoints."""
         self.store = store
         self.slice_size = slice_size
         self.endpoints_by_slice: dict[str, dict[str, ApiObject]] = {}  # by slice name and pod uid
@@ -79,7 +79,7 @@
             self._add_conflict(conflict, name, entry)
 
     def _slice_for(self, uid: str) -> str:
-        """Return the name of the regular slice that lists a pod, else of a slice with room, else of a new slice."""
+        """Return the slice for a pod: the regular slice that lists it, else one with room, else a new name."""
         regular_slices = {
             name: pods for name, pods in self.endpoints_by_slice.items() if not name.startswith(EXTRA_PREFIX)
         }
@@ -145,14 +145,14 @@
             self.api_server.close()
         elif step.action is FaultAction.UP:
             self.cluster.store.compact()
-            if not self.api_server.is_listening:  # if two faults overlap, the end of the first has restarted it
+            if not self.api_server.is_listening:  # the end of an overlapping fault may have restarted the server
                 await self.listen()
         elif step.action is FaultAction.BREAK_WATCHES:
             self.api_server.end_connections()
         self.api_server.on_change()
 
     def _conflict_of(self, entry: dict[str, Any]) -> Conflict | None:
-        """Return the contradiction for a drain, if any. It is the same for all sidecars, as they share one cluster."""
+        """Return the contradiction for a drain, if any; the same for all sidecars, because they share one cluster."""
         number = int(entry["uid"].rpartition("-")[2], 16)
         if entry["state"] != ListState.LEAVING or number % PERCENT >= self._conflict_share * PERCENT:
             return None
--- a/ryepier/maintenance/agreement_validation.py
+++ b/ryepier/maintenance/agreement_validation.py
@@ -12,8 +12,8 @@
 from ryepier.maintenance.agreement import Agreement, Service, format_capacity
 from ryepier.maintenance.agreement_tables import AgreementTables, ServiceTable
 
-MIN_REPLICAS = 3  # per region, so that a majority remains after the loss of one replica
-MAX_DECIMALS = 3  # of an amount, because amounts are stored in thousandths
+MIN_REPLICAS = 3  # minimum number of replicas per region, so that a majority remains after the loss of one replica
+MAX_DECIMALS = 3  # maximum number of decimals in an amount, because amounts are stored in thousandths
 
 
 class _KeyedName(NamedTuple):
--- a/ryepier/maintenance/client.py
+++ b/ryepier/maintenance/client.py
@@ -16,7 +16,7 @@
 ATTEMPT_TIMEOUT_S = 2.0  # how long one replica may take to reply
 RETRY_DELAY_S = 0.1
 
-MakeCall = Callable[[int], api.Call]  # makes a call with the given number
+MakeCall = Callable[[int], api.Call]  # builds the frame of a call from the call's number
 
 
 class CallError(RyepierError):
--- a/ryepier/maintenance/commands.py
+++ b/ryepier/maintenance/commands.py
@@ -100,7 +100,7 @@
 
 
 class CancelRequest(msgspec.Struct, tag="cancel-request", tag_field="type", frozen=True, forbid_unknown_fields=True):
-    """Stop granting leases to a request; revoke its leases whose drain has not started, and let the others finish."""
+    """Stop granting leases to a request, and revoke its leases whose drain has not started. Other leases stay open."""
 
     request: Name
 
@@ -161,7 +161,7 @@
 class RecordCapacityNeeds(
     msgspec.Struct, tag="record-standing", tag_field="type", frozen=True, forbid_unknown_fields=True
 ):
-    """Record the capacity needs that another region reported. A report replaces those with lower numbers."""
+    """Record the capacity needs that another region reported. They replace those of reports with lower numbers."""
 
     region: Name
     number: Positive  # last log index that the reporting region had applied
@@ -189,7 +189,7 @@
 
 
 class AdvanceTime(msgspec.Struct, tag="advance-time", tag_field="type", frozen=True, forbid_unknown_fields=True):
-    """Advance the region's time to the leader's clock. It is used for scheduling and deadlines; leases never expire."""
+    """Advance the region's time to the leader's clock, for scheduling and deadlines. Leases never expire."""
 
     now_ms: NonNegative
 
--- a/ryepier/maintenance/judge.py
+++ b/ryepier/maintenance/judge.py
@@ -77,7 +77,10 @@
         self._losses: dict[str, _Loss] = {}
 
     def apply(self, change: CapacityChange) -> list[Breach]:
-        """Record a change and, if it starts a planned outage, return the breaches. Losses do not count as missing."""
+        """Record a change and, if it starts a planned outage, return the breaches.
+
+        Lost capacity counts as available; `check_grant` subtracts the known losses.
+        """
         self._record(change)
         if not (change.planned and change.missing_share):
             return []
@@ -158,7 +161,7 @@
 
 
 def find_breaches(agreement: Agreement, changes: Iterable[CapacityChange]) -> Iterator[Breach]:
-    """Yield every breach of the agreement by planned outages, in the order of time. Losses do not count as missing."""
+    """Yield every breach of the agreement by planned outages, ordered by time. Lost capacity counts as available."""
     checker = AgreementChecker(agreement)
     for change in sorted(changes, key=_sort_key):
         yield from checker.apply(change)
@@ -180,5 +183,5 @@
 
 
 def _sort_key(change: CapacityChange) -> _ChangeKey:
-    """Return the sort key of a change."""
+    """Return the key that sorts changes by time, with those that return capacity first."""
     return _ChangeKey(change.at_ms, change.missing_share > 0)
--- a/ryepier/maintenance/observer.py
+++ b/ryepier/maintenance/observer.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WarmthProbe:
-    """The observed state of a converter.
+    """An observation of a converter, and when its warm-up started.
 
     `warm_up_started_region_ms` is the region's time when the warm-up of the current incarnation started, or the time of
     the observation if the converter is not ready.
--- a/ryepier/maintenance/placement.py
+++ b/ryepier/maintenance/placement.py
@@ -69,7 +69,7 @@
             self._place_job(job, frozen_placements.get(job.request.name, []))
 
     def job(self, name: str) -> Job:
-        """Return the job of a request."""
+        """Return the job of the request called `name`."""
         return next(job for job in self.order if job.request.name == name)
 
     def unplaced_names(self) -> list[str]:
--- a/ryepier/maintenance/region_clock.py
+++ b/ryepier/maintenance/region_clock.py
@@ -12,10 +12,10 @@
 
 
 class RegionClock:
-    """Continues the committed time of the region with this process's monotonic clock."""
+    """Extrapolates the region's committed time with this process's monotonic clock."""
 
     def __init__(self, replica: Replica, ledger: Ledger) -> None:
-        """Start without an offset: the first `now_ms` call of each term sets it. `ledger` has the committed time."""
+        """Start without an offset: the first `now_ms` call of each term sets it. `ledger` holds the committed time."""
         self.replica = replica
         self.ledger = ledger
         self.offset_term = 0  # the term in which `offset_ms` was set
--- a/ryepier/maintenance/region_link.py
+++ b/ryepier/maintenance/region_link.py
@@ -75,7 +75,7 @@
         needs = ledger.capacity_needs()
         if needs == self.last_reported_needs:
             return
-        self.last_reported_needs = None  # so that a report that fails is repeated
+        self.last_reported_needs = None  # if the call fails, the next exchange reports the needs again
         report = RecordCapacityNeeds(self.region, max(1, ledger.applied), needs)
         await self.client.command(report, self.CALL_TIMEOUT_S)
         self.last_reported_needs = needs
--- a/ryepier/maintenance/replication/core.py
+++ b/ryepier/maintenance/replication/core.py
@@ -62,7 +62,7 @@
 
     @property
     def role(self) -> Role:
-        """The current role."""
+        """The replica's current role, such as follower or leader."""
         return self._state.role
 
     @property
--- a/ryepier/maintenance/replication/follower.py
+++ b/ryepier/maintenance/replication/follower.py
@@ -27,7 +27,11 @@
         self.recovery = recovery
 
     def on_request_vote(self, candidate: str, request: RequestVote) -> None:
-        """Grant at most one vote per term, and only to a candidate whose log is at least as up to date as this one."""
+        """Answer a request for a vote.
+
+        A replica grants at most one vote per term, and only to a candidate whose log is at least as up to date as the
+        replica's own log. A learner does not answer.
+        """
         state = self.state
         if state.role is Role.LEARNER:
             return
@@ -42,7 +46,7 @@
         return self.state.hard_state.voted_for in (NO_MEMBER, candidate)
 
     def _is_up_to_date(self, request: RequestVote) -> bool:
-        """Return whether the candidate's log is at least as up to date as this one: by last term, then by length."""
+        """Return whether the candidate's log is at least as up to date as this replica's, by last term, then length."""
         last_index = self.state.last_index
         last_term = self.state.term_at(last_index)
         if request.last_log_term != last_term:
--- a/ryepier/maintenance/replication/storage.py
+++ b/ryepier/maintenance/replication/storage.py
@@ -251,7 +251,7 @@
         try:
             return msgspec.msgpack.decode(content, type=Record)
         except msgspec.DecodeError as error:
-            raise StorageError(f"{self.path}: cannot decode the record before byte {self.offset}: {error}") from error
+            raise StorageError(f"{self.path}: cannot decode record ending at byte {self.offset}: {error}") from error
 
 
 def _encode_record(content: bytes) -> bytes:
--- a/ryepier/maintenance/server.py
+++ b/ryepier/maintenance/server.py
@@ -65,7 +65,7 @@
         except FatalError as error:
             self.stop_with_error(error)
         except (OSError, EOFError, asyncio.CancelledError):
-            pass  # the remote end has disconnected, or this process stops
+            pass  # the remote end has disconnected, or this process is stopping
         finally:
             connection.close()
 
--- a/ryepier/maintenance/submission.py
+++ b/ryepier/maintenance/submission.py
@@ -1,4 +1,4 @@
-"""Validates new requests.
+"""Validates new maintenance requests.
 
 A request that can never be placed is rejected on submission. The reason gives the time that is missing until its
 deadline, or the amount by which a converter exceeds the capacity that may be unavailable.
--- a/tests/test_maintenance_processes.py
+++ b/tests/test_maintenance_processes.py
@@ -111,7 +111,7 @@
         late_call = asyncio.create_task(north.client(old_leader).acquire_lease("late", 5.0))
         await asyncio.sleep(0.3)
         north.send_signal(old_leader, signal.SIGCONT)
-        with pytest.raises(CallError):  # the old leader replies that it is not the leader until the call times out
+        with pytest.raises(CallError):  # the client retries at the deposed leader until the call times out
             await late_call
         assert [lease.name for lease in (await north.status()).leases] == ["l1"]
 
