--- a/ryepier/emulator/client_request.py
+++ b/ryepier/emulator/client_request.py
@@ -35,13 +35,13 @@
         """Return how long the client waits for a response to the attempt after sending it."""
 
     def on_ended(self, attempt: ClientAttempt, outcome: RequestOutcome) -> None:
-        """Handle the end of the attempt."""
+        """Record how an attempt ended, and schedule a retry if one is allowed. Called once for each attempt."""
 
 
 class ClientRequest:
     """One attempt in flight.
 
-    It is sent a second time, at most once, if its reused connection ends before a response and a repeat is harmless.
+    If a reused connection ends before the response and a repeat is harmless, the attempt is sent once more.
     """
 
     def __init__(self, owner: RequestOwner, target: Target, attempt: ClientAttempt, closes_connection: bool) -> None:
@@ -50,8 +50,8 @@
         self.target = target
         self.attempt = attempt
         self.closes_connection = closes_connection
-        self.ended = False
-        self._resent = False
+        self.has_ended = False
+        self._was_resent = False
         self._connection: ClientConnection | None = None
         self._timer: asyncio.TimerHandle | None = None
 
@@ -127,17 +127,17 @@
         attempt.may_be_unread = may_be_unread
         request_class = self.owner.world.classes[attempt.request_class]
         may_repeat = may_retry(request_class, RequestOutcome.BROKEN, attempt.sent_us, self.owner.clock.now_us())
-        if may_be_unread and not self._resent and may_repeat:
-            self._resent = True
+        if may_be_unread and not self._was_resent and may_repeat:
+            self._was_resent = True
             self.owner.spawn(self._connect())
         else:
             self.end(RequestOutcome.BROKEN)
 
     def end(self, outcome: RequestOutcome) -> None:
         """End the attempt; further calls have no effect."""
-        if self.ended:
+        if self.has_ended:
             return
-        self.ended = True
+        self.has_ended = True
         if self._timer is not None:
             self._timer.cancel()
         self.owner.on_ended(self.attempt, outcome)
--- a/ryepier/maintenance/placement.py
+++ b/ryepier/maintenance/placement.py
@@ -69,7 +69,7 @@
             self._place_job(job, frozen_placements.get(job.request.name, []))
 
     def job(self, name: str) -> Job:
-        """Return the job of a request."""
+        """Return the job of the request called `name`."""
         return next(job for job in self.order if job.request.name == name)
 
     def unplaced_names(self) -> list[str]:
@@ -237,8 +237,10 @@
         }
         limit = max(excesses, key=lambda candidate: excesses[candidate])
         excess = excesses[limit]
-        lost = self._lost_capacity(limit)
-        condition = f"while {format_capacity(lost)} is lost" if lost else "with nothing else out of service"
+        lost_capacity = self._lost_capacity(limit)
+        condition = (
+            f"while {format_capacity(lost_capacity)} is lost" if lost_capacity else "with nothing else out of service"
+        )
         reason = (
             f"{limit.name}: taking {converter.name!r} out of service exceeds it by "
             f"{format_capacity(excess)} {condition}"
