--- a/ryepier/experiments/core/runner.py
+++ b/ryepier/experiments/core/runner.py
@@ -158,7 +158,7 @@
         roles = _assign_roles(experiment, trial.seeded_fault)
         if is_control:
             roles = dataclasses.replace(roles, sidecar_command=None)
-        with _limited_to_cores(experiment.cores):
+        with _limit_to_cores(experiment.cores):
             return harness.run_world(world, trial.seed, folder, roles, on_progress)
 
     return run_world
@@ -183,7 +183,7 @@
 
 
 @contextmanager
-def _limited_to_cores(count: int) -> Iterator[None]:
+def _limit_to_cores(count: int) -> Iterator[None]:
     """Limit this process and its children to `count` cores within the context; 0 for no limit."""
     allowed_cores = os.sched_getaffinity(0)
     if count:
--- a/ryepier/experiments/graphql/resets.py
+++ b/ryepier/experiments/graphql/resets.py
@@ -84,7 +84,7 @@
 
 
 def _claims(run: Run) -> list[Claim]:
-    measured = _figures(run)
+    run_figures = _figures(run)
     resets = count_query_resets(run)
     is_full_scale = run.world.duration_s >= FULL_DURATION_S
     min_requests = MIN_REQUESTS_AT_FULL_SCALE if is_full_scale else MIN_REQUESTS
@@ -97,9 +97,11 @@
     retried_claim_name = "resets of queries, with retries to spare, that were sent again"
     served_claim_name = "queries sent again after a reset that were served"
     return [
-        Claim("requests", measured["requests"], ">=", min_requests),
-        Claim("share of requests that were reset after they were sent", measured["reset_share"], ">=", MIN_RESET_SHARE),
-        Claim("mutations that ran twice", measured["duplicated_mutations"], "==", 0),
+        Claim("requests", run_figures["requests"], ">=", min_requests),
+        Claim(
+            "share of requests that were reset after they were sent", run_figures["reset_share"], ">=", MIN_RESET_SHARE
+        ),
+        Claim("mutations that ran twice", run_figures["duplicated_mutations"], "==", 0),
         Claim("service of queries", figures.service_level(query_operations), ">=", MIN_QUERY_SERVICE),
         Claim(retried_claim_name, resets.retried_share, ">=", MIN_RETRIED_SHARE),
         Claim(served_claim_name, resets.served_share, ">=", resets.min_served_share),
--- a/ryepier/experiments/load_spread/steady.py
+++ b/ryepier/experiments/load_spread/steady.py
@@ -31,7 +31,7 @@
 }
 
 
-def _rare_claim(name: str, windows: measures.RareWindows) -> Claim:
+def _rare_windows_claim(name: str, windows: measures.RareWindows) -> Claim:
     return Claim(name, windows.count, "<=", windows.allowed_count)
 
 
@@ -42,8 +42,8 @@
     connections_ratio = treatment.mean_open_connections / control.mean_open_connections
     connections_claim_name = f"{load_name}: connections over those without the mending"
     return [
-        _rare_claim(f"{load_name}: windows of 100 ms above the Poisson quantile", crowded_windows),
-        _rare_claim(f"{load_name}: windows without a request where 12 are expected", empty_windows),
+        _rare_windows_claim(f"{load_name}: windows of 100 ms above the Poisson quantile", crowded_windows),
+        _rare_windows_claim(f"{load_name}: windows without a request where 12 are expected", empty_windows),
         Claim(f"{load_name}: refused", treatment.rejected_share, "<=", MAX_REJECTED_SHARE),
         Claim(connections_claim_name, connections_ratio, "<=", MAX_CONNECTIONS_RATIO),
     ]
--- a/ryepier/experiments/maintenance/cut.py
+++ b/ryepier/experiments/maintenance/cut.py
@@ -88,7 +88,9 @@
     """Run one trial of the experiment. Raises HarnessError."""
     world = msgspec.structs.replace(load("maintenance"), duration_s=DURATION_S)
     planned = [reschedule(request) for request in draw_requests(world, trial.seed) if request.valid]
-    scenario = Scenario(MAX_UNAVAILABLE, MIN_ALLOWANCE, planned, partition_and_heal, trial.seeded_fault, relayed=True)
+    scenario = Scenario(
+        MAX_UNAVAILABLE, MIN_ALLOWANCE, planned, partition_and_heal, trial.seeded_fault, uses_relays=True
+    )
     harness = MaintenanceHarness(world, trial.seed, trial.folder, scenario)
     outcome = outcomes.run(harness)
     extra_figures = {
--- a/ryepier/experiments/maintenance/maintenance_harness.py
+++ b/ryepier/experiments/maintenance/maintenance_harness.py
@@ -104,7 +104,7 @@
     requests: Sequence[PlannedRequest]
     faults: InjectFaults | None = None
     seeded_fault: str = ""
-    relayed: bool = False  # the regions communicate through relays
+    uses_relays: bool = False  # the regions communicate through relays
 
 
 @dataclass(frozen=True, slots=True)
@@ -140,7 +140,7 @@
         self.agreement_path = self.write_agreement("agreement", None)
         self.agreement: Agreement = agreement_file.parse(self.agreement_path.read_bytes())
         self.region_agreements = {
-            region: self.write_agreement(f"agreement-{region}", region if scenario.relayed else None)
+            region: self.write_agreement(f"agreement-{region}", region if scenario.uses_relays else None)
             for region in REGIONS
         }
 
@@ -223,7 +223,7 @@
         """Run the schedule of the world, the agents, the requests and the faults until the end of the run."""
         for region in REGIONS:
             self.start_agent(region)
-        if self.scenario.relayed:
+        if self.scenario.uses_relays:
             await self.start_relays()
         async with asyncio.TaskGroup() as group:
             poll_tasks = [group.create_task(self.poll_status(region)) for region in REGIONS]
--- a/ryepier/experiments/planners/benefit.py
+++ b/ryepier/experiments/planners/benefit.py
@@ -86,33 +86,33 @@
     }
 
 
-def _time_claim(measured: Mapping[str, float]) -> Claim:
-    ratio = measured["avoided_after_s_with"] / max(STEP_S, measured["avoided_after_s_without"])
+def _time_claim(run_figures: Mapping[str, float]) -> Claim:
+    ratio = run_figures["avoided_after_s_with"] / max(STEP_S, run_figures["avoided_after_s_without"])
     return Claim("time to avoid, with planners over without", ratio, "<=", MAX_TIME_RATIO)
 
 
-def _lost_ratio(measured: Mapping[str, float], kind: str) -> float:
-    lost_share_with = 1 - measured[f"service_in_the_{kind}_with"]
-    lost_share_without = 1 - measured[f"service_in_the_{kind}_without"]
+def _lost_ratio(run_figures: Mapping[str, float], kind: str) -> float:
+    lost_share_with = 1 - run_figures[f"service_in_the_{kind}_with"]
+    lost_share_without = 1 - run_figures[f"service_in_the_{kind}_without"]
     return lost_share_with / max(MIN_LOST_SHARE, lost_share_without)
 
 
 def _hang_claims(run: Run) -> list[Claim]:
     assert run.control is not None
-    measured = _figures(run, "hang")
-    lost_ratio = _lost_ratio(measured, "hang")
+    run_figures = _figures(run, "hang")
+    lost_ratio = _lost_ratio(run_figures, "hang")
     return [
-        _time_claim(measured),
+        _time_claim(run_figures),
         Claim("worth lost in the hang, with planners over without", lost_ratio, "<=", MAX_LOST_RATIO_HANG),
         Claim("breaches of rules without planners", len(run.control.breaches), "==", 0),
     ]
 
 
 def _slow_claims(run: Run) -> list[Claim]:
-    measured = _figures(run, "slow")
-    lost_ratio = _lost_ratio(measured, "slow")
+    run_figures = _figures(run, "slow")
+    lost_ratio = _lost_ratio(run_figures, "slow")
     return [
-        _time_claim(measured),
+        _time_claim(run_figures),
         Claim("worth lost while they are slow, with planners over without", lost_ratio, "<=", MAX_LOST_RATIO_SLOW),
     ]
 
--- a/ryepier/experiments/scale/endpoint_list.py
+++ b/ryepier/experiments/scale/endpoint_list.py
@@ -389,7 +389,9 @@
 
 
 def make_claims(
-    figures_by_known_count: Mapping[int, Figures], figures_by_fleet_size: Mapping[int, Figures], derived: Figures
+    figures_by_known_count: Mapping[int, Figures],
+    figures_by_fleet_size: Mapping[int, Figures],
+    derived_figures: Figures,
 ) -> list[Claim]:
     """Return the claims on the cost of a sidecar and on the outages of the fleet."""
     figures_at_largest_count, fleet_figures = (
@@ -397,10 +399,15 @@
         figures_by_fleet_size[max(figures_by_fleet_size)],
     )
     return [
-        Claim("memory of a sidecar that knows 1,600 converters (MB)", derived["sidecar_mb"], "<=", BUDGET_MB),
-        Claim("largest residual of its line over the largest value", derived["memory_residual"], "<=", 0.1),
-        Claim("cores for a day's changes, 1,600 known", derived["day_cores"], "<=", BUDGET_CORES),
-        Claim("bytes a second for a day's changes, 1,600 known", derived["day_bytes_per_s"], "<=", BUDGET_BYTES_PER_S),
+        Claim("memory of a sidecar that knows 1,600 converters (MB)", derived_figures["sidecar_mb"], "<=", BUDGET_MB),
+        Claim("largest residual of its line over the largest value", derived_figures["memory_residual"], "<=", 0.1),
+        Claim("cores for a day's changes, 1,600 known", derived_figures["day_cores"], "<=", BUDGET_CORES),
+        Claim(
+            "bytes a second for a day's changes, 1,600 known",
+            derived_figures["day_bytes_per_s"],
+            "<=",
+            BUDGET_BYTES_PER_S,
+        ),
         Claim("bytes of one change", figures_at_largest_count["change_bytes"], "<=", 500),
         Claim(
             "from a change to the last module that has it, most (s)",
@@ -432,7 +439,7 @@
     load_figures = {"load_average": os.getloadavg()[0]}
     figures_by_known_count = asyncio.run(measure_by_known_count(trial.seed, trial.scale, trial.seeded_fault))
     figures_by_fleet_size = asyncio.run(measure_by_fleet_size(trial.seed, trial.scale, trial.seeded_fault))
-    derived = derive_figures(figures_by_known_count, sidecar_base_bytes() / MB)
+    derived_figures = derive_figures(figures_by_known_count, sidecar_base_bytes() / MB)
     for known_count, size_figures in figures_by_known_count.items():
         size_figures |= list_costs.measure(known_count, trial.seed)
     figures = {
@@ -446,7 +453,8 @@
         for name, value in size_figures.items()
     }
     return Measurement(
-        make_claims(figures_by_known_count, figures_by_fleet_size, derived), figures | derived | load_figures
+        make_claims(figures_by_known_count, figures_by_fleet_size, derived_figures),
+        figures | derived_figures | load_figures,
     )
 
 
--- a/ryepier/experiments/scale/failure.py
+++ b/ryepier/experiments/scale/failure.py
@@ -190,12 +190,12 @@
         _fit(figures, "burst_cpu_ms", BURST_SIZES),
         _fit(figures, "together_cpu_ms", BURST_SIZES),
     )
-    discovery_singly_line = _fit(figures, "zone_stand_in_cpu_s", FLEET_SIZES[scale])
-    discovery_together_line = _fit(figures, "zone_together_stand_in_cpu_s", FLEET_SIZES[scale])
+    discovery_single_change_line = _fit(figures, "zone_stand_in_cpu_s", FLEET_SIZES[scale])
+    discovery_combined_change_line = _fit(figures, "zone_together_stand_in_cpu_s", FLEET_SIZES[scale])
     costs = {
         "change_cpu_us": single_change_line.per_unit * 1000,
         "change_residual": single_change_line.relative_residual,
-        "message_us": discovery_singly_line.per_unit * 1e6 / ZONE_SIZE,
+        "message_us": discovery_single_change_line.per_unit * 1e6 / ZONE_SIZE,
     }
     for name, size, sidecar_count in (
         ("rack", RACK_SIZE, FLEET_SIZE),
@@ -206,10 +206,12 @@
             f"{name}_messages": float(size * sidecar_count),
             f"{name}_mb": figures[f"burst_bytes_{size}"] * sidecar_count / 1e6,
             f"{name}_sidecar_ms": single_change_line.at(size).value,
-            f"{name}_singly_last_s": discovery_singly_line.per_unit * sidecar_count * size / ZONE_SIZE
+            f"{name}_singly_last_s": discovery_single_change_line.per_unit * sidecar_count * size / ZONE_SIZE
             + single_change_line.at(size).value / 1000,
             # a longer message takes longer to write; its whole cost is assumed to be proportional to the changes in it
-            f"{name}_together_last_s": discovery_together_line.per_unit * sidecar_count * max(1.0, size / ZONE_SIZE)
+            f"{name}_together_last_s": discovery_combined_change_line.per_unit
+            * sidecar_count
+            * max(1.0, size / ZONE_SIZE)
             + combined_change_line.at(size).value / 1000,
         }
     return costs
--- a/ryepier/experiments/storms/after_outage.py
+++ b/ryepier/experiments/storms/after_outage.py
@@ -70,22 +70,25 @@
 
 
 def _claims(run: Run) -> list[Claim]:
-    measured = _figures(run)
+    run_figures = _figures(run)
     outage = find_outage(run.world)
     is_before = figures.due_between(MEASURED_FROM_S, outage.begin_s - OUTAGE_MARGIN_S)
     is_long = outage.duration_s >= LONG_OUTAGE_S
     max_recovery_s = MAX_RECOVERY_AFTER_LONG_OUTAGE_S if is_long else MAX_RECOVERY_S
-    first_to_retry_ratio = measured["refused_first_with"] / max(MIN_DIVISOR, measured["refused_later_with"])
-    lost_points = 100 * (measured["service_after_without"] - measured["service_after_with"])
+    first_to_retry_ratio = run_figures["refused_first_with"] / max(MIN_DIVISOR, run_figures["refused_later_with"])
+    lost_points = 100 * (run_figures["service_after_without"] - run_figures["service_after_with"])
     return [
         Claim("service before the outage", figures.service_level(run.operations, is_before), ">=", MIN_SERVICE_BEFORE),
-        Claim("time until service is back (s)", measured["back_after_s_with"], "<=", max_recovery_s),
-        Claim("sidecars' guards that opened", measured["storms_opened"], ">=", run.world.sidecars.count),
+        Claim("time until service is back (s)", run_figures["back_after_s_with"], "<=", max_recovery_s),
+        Claim("sidecars' guards that opened", run_figures["storms_opened"], ">=", run.world.sidecars.count),
         Claim(
             "share refused of first tries over that of later ones", first_to_retry_ratio, "<=", MAX_FIRST_TO_RETRY_RATIO
         ),
         Claim(
-            "share of refusals of one moment told the same", measured["advice_alike"], "<=", MAX_RETRY_AFTER_UNIFORMITY
+            "share of refusals of one moment told the same",
+            run_figures["advice_alike"],
+            "<=",
+            MAX_RETRY_AFTER_UNIFORMITY,
         ),
         Claim("service after the outage lost to the guard (points)", lost_points, "<=", MAX_LOST_POINTS),
     ]
--- a/tests/test_load_spread_processes.py
+++ b/tests/test_load_spread_processes.py
@@ -69,7 +69,7 @@
 TIME_INDEPENDENT_RULES = {"second-answer", "forged", "invented", "run-twice", "refused-after-run", "crash"}
 
 
-def run_until_on_time(world: World, folder: Path) -> Run:
+def repeat_run_until_valid(world: World, folder: Path) -> Run:
     """Run a world until the machine does not fall behind in a run, and return this run.
 
     The other runs are void, and checked only for the rules that do not depend on time. Fails the test after `MAX_RUNS`
@@ -112,7 +112,7 @@
 
 def test_third_of_the_sidecars_killed_and_restarted_at_once(tmp_path: Path) -> None:
     fault = Fault(kind=FaultKind.SIDECAR_KILL, at_s=1.2, target_share=0.34, down_s=0.4)
-    run = run_until_on_time(make_world(fault, sidecars=18, duration_s=4.6), tmp_path)
+    run = repeat_run_until_valid(make_world(fault, sidecars=18, duration_s=4.6), tmp_path)
     incarnations = run.history.incarnations
     killed_sidecars = {incarnation.sidecar for incarnation in incarnations if incarnation.killed}
     assert (
@@ -128,7 +128,7 @@
 
 
 def test_busiest_sidecar_suspended_and_resumed(tmp_path: Path) -> None:
-    run = run_until_on_time(make_world(Fault(kind=FaultKind.SIDECAR_HANG, at_s=1.2, for_s=1.0, index=0)), tmp_path)
+    run = repeat_run_until_valid(make_world(Fault(kind=FaultKind.SIDECAR_HANG, at_s=1.2, for_s=1.0, index=0)), tmp_path)
     assert len(run.history.incarnations[0].suspensions) == 1
     assert_served_without_breaches(run, 0.9)
     assert figures.service_level(run.operations, lambda operation: operation.sidecar != 0) >= 0.95
@@ -156,7 +156,7 @@
 def test_discovery_down_while_converters_are_replaced(tmp_path: Path) -> None:
     outage = Fault(kind=FaultKind.DISCOVERY_DOWN, at_s=0.9, for_s=1.8)
     release = Fault(kind=FaultKind.RELEASE, at_s=1.2, for_s=0.6, target_share=0.34, drain_s=0.4, down_s=0.3)
-    run = run_until_on_time(make_world(outage, release, duration_s=5.0), tmp_path)
+    run = repeat_run_until_valid(make_world(outage, release, duration_s=5.0), tmp_path)
     assert_served_without_breaches(run, 0.9)
     removed_uids, added_uids = removed_and_added_uids(run)
     outage_end_us = (outage.at_s + outage.for_s) * 1e6
@@ -170,7 +170,7 @@
 def test_stale_lists_at_half_of_the_sidecars(tmp_path: Path) -> None:
     stale_fault = Fault(kind=FaultKind.DISCOVERY_STALE, at_s=0.9, for_s=2.1, target_share=0.5)
     release = Fault(kind=FaultKind.RELEASE, at_s=1.2, for_s=0.6, target_share=0.34, drain_s=0.4, down_s=0.3)
-    run = run_until_on_time(make_world(stale_fault, release, duration_s=4.4), tmp_path)
+    run = repeat_run_until_valid(make_world(stale_fault, release, duration_s=4.4), tmp_path)
     assert_served_without_breaches(run, 0.9)
     removed_uids, added_uids = removed_and_added_uids(run)
     for uid in removed_uids:
@@ -182,7 +182,7 @@
 
 def test_zone_cut_off_from_the_others(tmp_path: Path) -> None:
     cut = Fault(kind=FaultKind.ZONE_CUT, at_s=1.0, for_s=1.6, zone="c")
-    run = run_until_on_time(make_world(cut, duration_s=4.6), tmp_path)
+    run = repeat_run_until_valid(make_world(cut, duration_s=4.6), tmp_path)
     assert_served_without_breaches(run, 0.8)
     assert not any(
         was_executed_across_cut(run, attempt)
@@ -214,7 +214,7 @@
     ids=["a third of the converters lost and back", "one converter twice as slow"],
 )
 def test_partial_failures_of_converters(fault: Fault, after_s: float, tmp_path: Path) -> None:
-    run = run_until_on_time(make_world(fault), tmp_path)
+    run = repeat_run_until_valid(make_world(fault), tmp_path)
     assert_served_without_breaches(run, 0.9)
     assert service_level_from(run, after_s) >= 0.95
     failing_indices = {
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -132,17 +132,17 @@
 def test_overloaded_planner_does_not_seem_cheap() -> None:
     # 100 forwarders, 20 ms of CPU time per tick and 1 ms per report. The overloaded planner handles only half of the
     # ticks and of the reports.
-    punctual_figures = control.planner_figures(
+    on_time_figures = control.planner_figures(
         100, 10.0, make_planner_reading(1.0, 0.0, 0, 0), make_planner_reading(3.8, 0.8, 40, 2000)
     )
     overloaded_figures = control.planner_figures(
         100, 10.0, make_planner_reading(1.0, 0.0, 0, 0), make_planner_reading(2.4, 0.4, 20, 1000, 5.6)
     )
-    for figures in (punctual_figures, overloaded_figures):
+    for figures in (on_time_figures, overloaded_figures):
         assert figures["planner_cpu_ms_a_tick"] == pytest.approx(20)
         assert figures["planner_cpu_us_a_report"] == pytest.approx(1000)
         assert figures["planner_cores_needed"] == pytest.approx(0.28)
-    assert overloaded_figures["planner_cores"] < punctual_figures["planner_cores"]
+    assert overloaded_figures["planner_cores"] < on_time_figures["planner_cores"]
     assert overloaded_figures["planner_wait_share"] == pytest.approx(0.8)
 
 
