--- a/ryepier/commands/check.py
+++ b/ryepier/commands/check.py
@@ -19,7 +19,8 @@
 from ryepier.check.seeded_faults import SEEDED_FAULTS
 from ryepier.commands.exits import ExitCode, fail
 
-MAX_TRACED_PATHS = 4000  # paths per model that `lines` expands; recording the executed lines is slow
+# limit on the paths per model that `lines` expands, because recording the executed lines is slow
+MAX_TRACED_PATHS = 4000
 KIB_PER_MB = 1024
 
 
--- a/ryepier/commands/config.py
+++ b/ryepier/commands/config.py
@@ -1,4 +1,7 @@
-"""`ryepier config check`: report errors in an operators' file or a world file. Also reads them for other commands."""
+"""`ryepier config check`: report errors in an operators' file or a world file.
+
+The functions that read these files are shared with other commands.
+"""
 
 from __future__ import annotations
 
--- a/ryepier/commands/slices.py
+++ b/ryepier/commands/slices.py
@@ -24,7 +24,7 @@
 from ryepier.slices.reflector import Apply, Delete, Replace
 from ryepier.slices.slice_source import Settings, SliceSource
 
-# by number of the rule by which slices that list the same endpoint are merged
+# descriptions of the rules by which slices that list the same endpoint are merged, by rule number
 RULE_DESCRIPTIONS = {
     1: "all slices that list it agree",
     3: "it was observed terminating, and a pod never returns from that",
--- a/ryepier/experiments/core/machine.py
+++ b/ryepier/experiments/core/machine.py
@@ -12,7 +12,8 @@
 BYTES_PER_KIB = 1024
 MAX_PROCESSES = 8
 MAX_BYTES = 10 * GB
-MAX_MEMORY_SHARE = 0.5  # share of the machine's memory that an experiment may use, as others use the machine too
+# share of the machine's memory that an experiment may use; the rest is left to other users of the machine
+MAX_MEMORY_SHARE = 0.5
 SPARE_SOCKETS = 64  # descriptors for a process's own files and for connections that are being closed
 MEMINFO = "/proc/meminfo"
 
@@ -27,12 +28,12 @@
 
     processes: int
     bytes: int
-    sockets: int = 0  # largest number that a single process opens
+    sockets: int = 0  # highest number of sockets that any single process opens
 
 
 @dataclass(frozen=True, slots=True)
 class MachineResources:
-    """The resources of a machine."""
+    """The memory of a machine, and its limit on open files, against which requirements are checked."""
 
     total_bytes: int
     available_bytes: int
--- a/ryepier/experiments/graphql/cost.py
+++ b/ryepier/experiments/graphql/cost.py
@@ -25,7 +25,7 @@
 MEASURED_FROM_S = 1.5  # time of the run by which the sidecar has started and its caches are warm
 MEASURED_TO_S = 5.5
 MIN_SERVED_SHARE = 0.98
-# CPU time per request relative to plain HTTP: with recurring documents, and with documents that never recur
+# limits on the CPU time per request relative to plain HTTP, for recurring documents and for documents that never recur
 MAX_USUAL_RATIO = 1.3
 MAX_UNIQUE_RATIO = 3.0
 # values of the world file's clients.graphql
--- a/ryepier/experiments/graphql/reset_queries.py
+++ b/ryepier/experiments/graphql/reset_queries.py
@@ -95,7 +95,7 @@
 
 
 def count_query_resets(run: Run) -> QueryResetCounts:
-    """Count the resets of queries by the retry budget that was available.
+    """Count the resets of queries in a run, those after which the retry budget allowed a retry, and those retried.
 
     A sidecar decides on a retry at an unknown time after the reset, and before a converter receives the retry or the
     client the final answer. So a retry counts as available only if the budget allowed one during all of this time.
--- a/ryepier/experiments/graphql/resets.py
+++ b/ryepier/experiments/graphql/resets.py
@@ -47,7 +47,7 @@
 
 
 def _effects(run: Run) -> dict[str, Effect]:
-    """Return the effect of each request, given by its class, by request id."""
+    """Return the effect of each request's class, by request id."""
     return {
         request.request_id: run.world.classes[request.request_class].effect for request in run.history.client_attempts
     }
--- a/ryepier/experiments/maintenance/cut.py
+++ b/ryepier/experiments/maintenance/cut.py
@@ -16,10 +16,11 @@
 from ryepier.experiments.maintenance.overlap import VALID_PER_REGION, draw_requests
 
 MAX_UNAVAILABLE = 8
-MIN_ALLOWANCE = 1  # low, so that the regions give each other much of their allowance
+MIN_ALLOWANCE = 1  # low, so that a region can give most of its allowance to the other region
 DEADLINE_MS = 60_000
 DURATION_S = 32.0
-SUBMIT_FROM_S = {NORTH: 0.0, SOUTH: 3.0}  # first only north needs more than its allowance, later both regions do
+# at first, only the north region needs more than its allowance; later both regions do
+SUBMIT_FROM_S = {NORTH: 0.0, SOUTH: 3.0}
 SUBMISSION_SPREAD_S = 1.0
 SUBMIT_DURING_PARTITION_S = 9.0
 PARTITIONED_AT_S, HEALED_AT_S = 5.0, 25.0
--- a/ryepier/experiments/maintenance/fleet_process.py
+++ b/ryepier/experiments/maintenance/fleet_process.py
@@ -31,7 +31,7 @@
 CONTROL_PORT = 7600
 CONTROL_SUBNET = 251
 DISCOVERY_HOST, CONVERTERS_HOST = 1, 2  # last part of the addresses in `CONTROL_SUBNET`
-REJECTED = "refused"  # stands in place of the action in the journal
+REJECTED = "refused"  # written to the journal instead of the action if a call is rejected
 JOURNAL_SUFFIX = ".journal"
 Handler = Callable[[FleetCall], Awaitable[FleetReply]]
 
--- a/ryepier/experiments/maintenance/maintenance_harness.py
+++ b/ryepier/experiments/maintenance/maintenance_harness.py
@@ -100,11 +100,11 @@
     """The maintenance and the faults of a run, in addition to the load of the world."""
 
     max_unavailable: int
-    min_allowance: int  # kept by a region when it gives allowance to the other one
+    min_allowance: int  # allowance that a region keeps when it gives some to the other region
     requests: Sequence[PlannedRequest]
     faults: InjectFaults | None = None
     seeded_fault: str = ""
-    uses_relays: bool = False  # the regions communicate through relays
+    uses_relays: bool = False  # whether the regions communicate through relays
 
 
 @dataclass(frozen=True, slots=True)
--- a/ryepier/experiments/maintenance/outcome.py
+++ b/ryepier/experiments/maintenance/outcome.py
@@ -38,20 +38,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """The time for which maintenance windows had a converter out: from its drain until it was warm again.
+    """The time for which a converter was out of service for maintenance: from its drain until it was warm again.
 
-    `tokens` are the fencing tokens of the windows.
+    `tokens` are the fencing tokens of the maintenance windows that drained or stopped it.
     """
 
     converter: str
     start_us: int
-    warm_us: int  # FOREVER_US if it did not recover during the run
+    warm_us: int  # FOREVER_US if the converter did not become warm again during the run
     tokens: frozenset[int]
 
 
 @dataclass(frozen=True, slots=True)
 class UnleasedOutage:
-    """A status poll, sent at `poll_us`, that showed no lease on a converter that was out."""
+    """A status poll, sent at `poll_us`, that showed no lease on a converter that was out of service."""
 
     converter: str
     poll_us: int
@@ -212,7 +212,7 @@
 
 
 def doubly_leased_outages(outcome: Outcome) -> list[Outage]:
-    """Return the outages of converters that more than one lease had out."""
+    """Return the outages with steps under the fencing tokens of more than one lease."""
     return [outage for outage in outcome.outages if len(outage.tokens) > 1]
 
 
--- a/ryepier/experiments/maintenance/overlap.py
+++ b/ryepier/experiments/maintenance/overlap.py
@@ -25,13 +25,15 @@
 from ryepier.maintenance.problem import Job, SchedulingProblem
 
 MAX_UNAVAILABLE = 8
-MIN_ALLOWANCE = 3  # of an allowance of 4; with less, the region that requests first would get most of the capacity
-VALID_PER_REGION = 12  # requests, each for one converter
+# Each region starts with an allowance of 4. With a lower minimum, the region that requests first would get most of the
+# capacity.
+MIN_ALLOWANCE = 3
+VALID_PER_REGION = 12  # valid requests per region, each for one converter
 MIN_UTILISATION = 0.8
-DURATION_MS = 2_500  # of the window of one converter; an agent needs less, which leaves time for a late release
+DURATION_MS = 2_500  # window of one converter; longer than an agent needs, so that a late release still fits
 LAST_SUBMISSION_S = 5.0
 MAX_EARLIEST_MS = 2_000
-DEADLINE_RANGE_MS = (15_000, 17_000)  # counted from the submission
+DEADLINE_RANGE_MS = (15_000, 17_000)  # time from the submission to the deadline
 TOO_SHORT_DEADLINE_MS = 3_000  # shorter than one window
 UNKNOWN_CONVERTER = "c-none"
 
--- a/ryepier/experiments/maintenance/relay.py
+++ b/ryepier/experiments/maintenance/relay.py
@@ -12,7 +12,7 @@
 
 DELAY_RANGE_S = (0.0, 0.25)
 DUPLICATED_FRACTION = 0.8  # fraction of the calls that are sent twice
-DUPLICATE_DELAY_RANGE_S = (0.0, 1.5)  # after the first copy
+DUPLICATE_DELAY_RANGE_S = (0.0, 1.5)  # delay of the second copy of a call after the first one
 
 
 class Relay:
--- a/ryepier/experiments/planners/benefit.py
+++ b/ryepier/experiments/planners/benefit.py
@@ -22,7 +22,7 @@
 MIN_AVOIDING_SHARE = 0.95  # share of the forwarders that have to avoid the affected converters
 MAX_TIME_RATIO = 0.5
 MAX_LOST_RATIO_HANG = 0.8
-MAX_LOST_RATIO_SLOW = 1.0  # sidecars avoid slow converters without planners as well, so planners improve little
+MAX_LOST_RATIO_SLOW = 1.0  # planners improve little, as sidecars avoid slow converters even without planners
 MIN_LOST_SHARE = 1e-6  # minimum divisor, to avoid a division by zero
 US_PER_S = 1e6
 
--- a/ryepier/experiments/planners/restart.py
+++ b/ryepier/experiments/planners/restart.py
@@ -21,7 +21,7 @@
 REJECTED_MESSAGE = f"rejected: {PlanRejection.FEW_REPORTERS}"  # in a sidecar's log
 EMPTY_PLANNER_EPOCH = "epoch 10000"  # in log lines: prefix of the epochs of planners with the seeded fault `amnesiac`
 PLAN_ARRIVAL_S = 1.0  # time from the planners' restart until their empty plans have arrived
-END_MARGIN_S = 1.0  # time at the end of the run that is excluded
+END_MARGIN_S = 1.0  # attempts in this last part of the run are excluded from the share of attempts to hung converters
 MAX_SHARE_TO_HUNG = 0.02
 MAX_RESTART_S = 2.0
 
--- a/ryepier/experiments/scale/call.py
+++ b/ryepier/experiments/scale/call.py
@@ -363,7 +363,8 @@
     """Run the benchmark. Raises InsufficientResourcesError and HarnessError."""
     check_requirements(ResourceRequirements(4, NEEDED_MEMORY_BYTES, 3 * MAX_CONNECTIONS), this_machine())
     if trial.seeded_fault:
-        seeded_faults.SEEDED_FAULTS[trial.seeded_fault]()  # `balancer_us_per_call` runs in this process
+        # needed in this process as well, because `balancer_us_per_call` measures a balancer that runs in it
+        seeded_faults.SEEDED_FAULTS[trial.seeded_fault]()
     figures = load_figures("before")
     figures |= {
         f"module_us_a_call_{known_count}_known": balancer_us_per_call(known_count, trial.seed, DESIGN_RATE_PER_S)
--- a/ryepier/experiments/scale/capacity/estimates.py
+++ b/ryepier/experiments/scale/capacity/estimates.py
@@ -12,7 +12,7 @@
 from ryepier.experiments.scale.slopes import Slope
 
 Figures = Mapping[str, float]
-SizeFunction = Callable[[Plan], float]  # returns the planned size by which a figure grows
+SizeFunction = Callable[[Plan], float]  # returns the planned size with which a figure grows
 
 
 class RowEstimate(msgspec.Struct, frozen=True):
--- a/ryepier/experiments/scale/control.py
+++ b/ryepier/experiments/scale/control.py
@@ -51,7 +51,7 @@
 }
 # with the seeded fault, the reports of a large fleet on all 1,600 converters would not fit into memory
 SEEDED_FAULT_FLEET_SIZES = {30: (25, 50, 100, 200)}
-REPORTS_PER_S = 2.0  # reports of a forwarder, by default
+REPORTS_PER_S = 2.0  # reports per second that a forwarder sends by default
 TICKS_PER_S = 1.0 / TICK_S
 WORKER_COUNT = {Scale.SMALL: 2, Scale.FULL: 4}
 FULL_REPORTS = "whole-reports"  # seeded fault: forwarders report on all converters
@@ -294,7 +294,8 @@
             await fleet.grow(size)
             by_size[size] = await fleet.measure(size)
         resident_bytes_after = sum(sample.resident for sample in await fleet.samples())
-        # only the memory that each forwarder adds, as in service it runs in the process of a sidecar
+        # The memory of the worker processes themselves is excluded. In production, a forwarder runs in its sidecar's
+        # process, and only adds to the memory of that process.
         at_largest_size = {
             "forwarder_resident_bytes": (resident_bytes_after - resident_bytes_before) / sizes[-1],
             "avoided_after_s": await fleet.hang_converter(),
--- a/ryepier/experiments/scale/depth.py
+++ b/ryepier/experiments/scale/depth.py
@@ -28,9 +28,9 @@
 VARIED_FAILING_SHARE = 0.5  # failing share in the runs with another deadline, objective or class
 CALL_COUNTS: dict[Scale, int] = {Scale.SMALL: 300, Scale.FULL: 3000}
 RATE_PER_S = 100.0
-SHORT_DEADLINE_US = 150_000  # a chain of 11 hops that take 10 ms each nearly uses it up
+SHORT_DEADLINE_US = 150_000  # nearly used up by a chain of 11 hops at 10 ms per hop
 FIXED_OBJECTIVE_US = 150_000  # latency objective of every hop, independent of the number of hops after it
-MAX_ATTEMPTS_PER_CALL = 20  # at the last service; a run that reaches it is aborted, so its figure is a lower bound
+MAX_ATTEMPTS_PER_CALL = 20  # at the last service; runs that reach it are aborted, so their figures are lower bounds
 NON_IDEMPOTENT_RUN = "unsafe_11_deep_0.5_failing"
 US_PER_MS = 1000
 
--- a/ryepier/experiments/scale/endpoint_list.py
+++ b/ryepier/experiments/scale/endpoint_list.py
@@ -97,7 +97,7 @@
 def required_resources(scale: Scale) -> ResourceRequirements:
     """Return the resources that the benchmark requires.
 
-    Its two parts run one after the other, so the larger one decides.
+    The two parts of the benchmark run one after the other, so the memory is that of the larger part.
     """
     known_count_part_bytes = len(KNOWN_COUNTS) * PROCESS_BYTES + SIDECARS_PER_GROUP[scale] * sum(
         SIDECAR_BYTES + known_count * CONVERTER_BYTES for known_count in KNOWN_COUNTS
@@ -192,7 +192,7 @@
 async def measure_zone_loss(group: Group) -> Figures:
     """Measure the loss of a zone: drain its converters in one update, and remove each of them in a separate update.
 
-    Afterwards as many new converters are added, which is not measured.
+    The lost converters are replaced afterwards, which is not measured.
     """
     listing = group.server.listing
     zone_entries = listing.pick_active(max(1, group.known_count // ZONE_DIVISOR))
--- a/ryepier/experiments/scale/failure.py
+++ b/ryepier/experiments/scale/failure.py
@@ -42,7 +42,8 @@
 # converters that are lost at once; with a region, as many sidecars are lost
 RACK_SIZE, ZONE_SIZE, REGION_SIZE = 40, 200, 800
 BURST_SIZES = (RACK_SIZE, 100, ZONE_SIZE, 400, REGION_SIZE)
-LISTENER_COUNT = {Scale.SMALL: 8, Scale.FULL: 24}  # sidecars that know all converters and receive the bursts
+# sidecars that know all converters, at which losses of `BURST_SIZES` converters are measured
+LISTENER_COUNT = {Scale.SMALL: 8, Scale.FULL: 24}
 FLEET_SIZES = {Scale.SMALL: (40, 80, 120, 160), Scale.FULL: (200, 400, 800, 1600)}
 # converters that the sidecars of the growing fleet know; the cost of sending a change does not depend on it, and full
 # lists for 1,600 sidecars would not fit into memory
@@ -57,7 +58,7 @@
 def required_resources(scale: Scale) -> ResourceRequirements:
     """Return the resources that the benchmark requires.
 
-    Its two parts run one after the other, so the larger one decides.
+    Its two fleets run one after the other, so the memory is that of the larger fleet.
     """
     sidecar_bytes = max(
         sidecar_count * (SIDECAR_BYTES + known_count * CONVERTER_BYTES)
@@ -160,7 +161,11 @@
 
 
 async def measure_losses(trial: TrialConfig) -> Figures:
-    """Return the costs of the bursts at a few sidecars, and of the loss of a rack and of a zone at each fleet size."""
+    """Measure the cost of losing converters, and return the figures.
+
+    Groups of each of `BURST_SIZES` are lost at a few sidecars that know all converters. A rack and a zone are lost at
+    each size of a growing fleet, whose sidecars know fewer converters.
+    """
     figures: Figures = {}
     async with start_fleet(KNOWN_COUNT, trial.seed, trial.seeded_fault) as listeners:
         await listeners.grow(LISTENER_COUNT[trial.scale])
--- a/ryepier/experiments/scale/lightweight_forwarders.py
+++ b/ryepier/experiments/scale/lightweight_forwarders.py
@@ -39,7 +39,7 @@
 class ForwardersConfig(msgspec.Struct, frozen=True):
     """The configuration of a worker process and its forwarders."""
 
-    planner: tuple[str, int]  # address
+    planner: tuple[str, int]  # host and port of the planner
     worker: int  # index of this process among the workers
     workers: int  # number of worker processes
     in_use: int  # converters that each forwarder calls
--- a/ryepier/experiments/simulation/search.py
+++ b/ryepier/experiments/simulation/search.py
@@ -39,7 +39,7 @@
     seed: int
     world: World
     rules: dict[str, int]  # number of breaches by rule name, or by `FAILED_RUN`
-    first_violation: str  # its description, or the error message of a failed run
+    first_violation: str  # description of the first breach, or the error message of a failed run
     seeded_fault: str = ""
     history_hash: str = ""
 
--- a/ryepier/experiments/simulation/seeded_faults.py
+++ b/ryepier/experiments/simulation/seeded_faults.py
@@ -66,7 +66,8 @@
     initialized: weakref.WeakSet[EndpointWatch] = weakref.WeakSet()
 
     def on_list_without_draining(self: DiscoveryClient, message: Any) -> None:
-        if self.watch is not None and self.watch not in initialized:  # its first message has the missed changes
+        # the first message of a watch contains the changes that were missed while the sidecar was disconnected
+        if self.watch is not None and self.watch not in initialized:
             initialized.add(self.watch)
             message["targets"] = [target for target in message["targets"] if target["state"] != "leaving"]
         original_on_list(self, message)
--- a/ryepier/experiments/slices/churn.py
+++ b/ryepier/experiments/slices/churn.py
@@ -23,7 +23,7 @@
 from ryepier.experiments.core.contract import Benchmark, Claim, Measurement, Scale, TrialConfig
 from ryepier.experiments.slices.follower_process import READY_LINE, FollowerReport
 
-LIST_SIZES = (1_000, 10_000)  # endpoints
+LIST_SIZES = (1_000, 10_000)  # numbers of endpoints in the list
 SLICE_SIZE = 100  # endpoints per slice
 CHANGE_COUNTS = {Scale.SMALL: 150, Scale.FULL: 1_500}  # number of changes per list size
 CHANGE_INTERVAL_S = 0.04
@@ -33,7 +33,7 @@
 NAMESPACE = "default"
 SERVICE = "convert"
 NODE_COUNT = 50
-MAX_P99_MS = {1_000: 30, 10_000: 60}  # by number of endpoints
+MAX_P99_MS = {1_000: 30, 10_000: 60}  # limits on the 99th percentile of the delay, by number of endpoints
 MAX_CPU_GROWTH = 3.0
 MAX_RESIDENT_MB = 120
 US_PER_MS = 1000
--- a/ryepier/experiments/storms/measures.py
+++ b/ryepier/experiments/storms/measures.py
@@ -16,8 +16,8 @@
 WINDOW_STEP_S = WINDOW_S / 2
 MIN_SERVICE = 0.95  # a window with at least this service level counts as recovered
 MIN_OBSERVED_S = 2.0  # minimum time after the outage over which rejections are counted
-# Rejections by a sidecar within one such period are compared with each other: its guard updates the Retry-After times
-# at this interval, so the same times apply to all of them.
+# Rejections by the same sidecar in the same period of this length are compared with each other. A sidecar's retry storm
+# guard updates the Retry-After times at this interval, so the same times apply to all rejections of a period.
 GROUPING_PERIOD_US = 200_000
 RETRY_AFTER_BIN_US = 50_000  # Retry-After times in the same bin count as equal
 MIN_GROUP_SIZE = 20  # groups with fewer rejections are ignored, as they are too small to be significant
--- a/tests/test_load_spread_processes.py
+++ b/tests/test_load_spread_processes.py
@@ -36,7 +36,7 @@
 
 SEED = 31
 SETTLED_AT_S = 1.0
-MAX_RUNS = 3  # runs of a world; a run in which the machine fell behind is void and repeated
+MAX_RUNS = 3  # runs of a world; a run in which the machine fell behind is invalid and repeated
 CLASS_SETTINGS: dict[str, float] = {"aim_ms": 400.0, "deadline_ms": 800.0, "worth": 1.0, "late_worth": 0.5}
 
 
@@ -70,10 +70,10 @@
 
 
 def repeat_run_until_valid(world: World, folder: Path) -> Run:
-    """Run a world until the machine does not fall behind in a run, and return this run.
+    """Repeat the run of a world until the emulator is on time during a whole run, and return that run.
 
-    The other runs are void, and checked only for the rules that do not depend on time. Fails the test after `MAX_RUNS`
-    void runs.
+    Runs in which the machine fell behind are invalid, and are checked only for the rules that do not depend on time.
+    Fails the test after `MAX_RUNS` invalid runs.
     """
     for _ in range(MAX_RUNS):
         history = harness.run_world(world, SEED, folder)
@@ -87,7 +87,7 @@
             return run
         broken_rules = [breach for breach in breaches if breach.rule in TIME_INDEPENDENT_RULES]
         assert not broken_rules, broken_rules[:5]
-    pytest.fail(f"all {MAX_RUNS} runs are void, as the machine fell behind: {lateness}")
+    pytest.fail(f"all {MAX_RUNS} runs are invalid, as the machine fell behind: {lateness}")
 
 
 def assert_served_without_breaches(run: Run, min_served_share: float) -> None:
