--- a/ryepier/experiments/maintenance/cut.py
+++ b/ryepier/experiments/maintenance/cut.py
@@ -28,13 +28,13 @@
 MIN_ALLOWANCE_CHANGES = 2
 
 
-def reschedule(planned: PlannedRequest) -> PlannedRequest:
+def reschedule(planned_request: PlannedRequest) -> PlannedRequest:
     """Return a request with this experiment's times. Requests with odd numbers are submitted during the partition."""
-    submit_from_s = SUBMIT_FROM_S[planned.region]
-    if int(planned.name.rpartition("-")[2]) % 2:
+    submit_from_s = SUBMIT_FROM_S[planned_request.region]
+    if int(planned_request.name.rpartition("-")[2]) % 2:
         submit_from_s = SUBMIT_DURING_PARTITION_S
-    at_s = submit_from_s + SUBMISSION_SPREAD_S * (planned.at_s % 1.0)
-    return replace(planned, at_s=at_s, earliest_in_ms=0, deadline_in_ms=DEADLINE_MS)
+    at_s = submit_from_s + SUBMISSION_SPREAD_S * (planned_request.at_s % 1.0)
+    return replace(planned_request, at_s=at_s, earliest_in_ms=0, deadline_in_ms=DEADLINE_MS)
 
 
 async def partition_and_heal(harness: MaintenanceHarness) -> None:
@@ -68,10 +68,10 @@
 
 def claims(outcome: Outcome) -> list[Claim]:
     """Return the claims of the experiment for a run."""
-    accepted = outcomes.accepted_requests(outcome)
+    accepted_requests = outcomes.accepted_requests(outcome)
     final_total = sum(allowances(outcome, region)[-1] for region in REGIONS)
-    agreed_total = outcome.agreement.max_unavailable(accepted[0].request.service)
-    done = outcomes.done_requests(outcome)
+    agreed_total = outcome.agreement.max_unavailable(accepted_requests[0].request.service)
+    done_requests = outcomes.done_requests(outcome)
     return [
         *outcomes.common_claims(outcome),
         Claim("changes of an allowance seen", allowance_changes(outcome), ">=", MIN_ALLOWANCE_CHANGES),
@@ -81,16 +81,16 @@
         ),
         Claim("allowances at the end (thousandths), the whole", final_total, "==", agreed_total),
         *outcomes.lease_claims(outcome),
-        Claim("requests done by the end", len(done), "==", VALID_PER_REGION * len(REGIONS)),
+        Claim("requests done by the end", len(done_requests), "==", VALID_PER_REGION * len(REGIONS)),
     ]
 
 
 def perform(trial: TrialConfig) -> Measurement:
     """Run one trial of the experiment. Raises HarnessError."""
     world = msgspec.structs.replace(load("maintenance"), duration_s=DURATION_S)
-    planned = [reschedule(request) for request in draw_requests(world, trial.seed) if request.valid]
+    planned_requests = [reschedule(request) for request in draw_requests(world, trial.seed) if request.valid]
     scenario = Scenario(
-        MAX_UNAVAILABLE, MIN_ALLOWANCE, planned, partition_and_heal, trial.seeded_fault, uses_relays=True
+        MAX_UNAVAILABLE, MIN_ALLOWANCE, planned_requests, partition_and_heal, trial.seeded_fault, uses_relays=True
     )
     harness = MaintenanceHarness(world, trial.seed, trial.folder, scenario)
     outcome = outcomes.run(harness)
--- a/ryepier/experiments/maintenance/kill.py
+++ b/ryepier/experiments/maintenance/kill.py
@@ -146,18 +146,18 @@
 def next_grant_s(outcome: Outcome) -> list[float]:
     """Return the seconds from each restored majority to the region's next grant, if one followed."""
     grant_delays_s = []
-    for restored in outcome.record.majorities_restored:
-        grants = outcomes.grants_us(outcome, replica_names(restored.region))
-        next_grant_us = next((at_us for at_us in grants if at_us > restored.at_us), None)
+    for restoration in outcome.record.majorities_restored:
+        grants = outcomes.grants_us(outcome, replica_names(restoration.region))
+        next_grant_us = next((at_us for at_us in grants if at_us > restoration.at_us), None)
         if next_grant_us is not None:
-            grant_delays_s.append((next_grant_us - restored.at_us) / 1e6)
+            grant_delays_s.append((next_grant_us - restoration.at_us) / 1e6)
     return grant_delays_s
 
 
 def claims(outcome: Outcome) -> list[Claim]:
     """Return the claims of the experiment for a run."""
-    accepted = outcomes.accepted_requests(outcome)
-    done = outcomes.done_requests(outcome)
+    accepted_requests = outcomes.accepted_requests(outcome)
+    done_requests = outcomes.done_requests(outcome)
     elections_by_region = [outcomes.elections_by_term(outcome, replica_names(region)) for region in REGIONS]
     repeated_candidacies = sum(outcomes.repeated_candidacies(outcome, replica_names(region)) for region in REGIONS)
     return [
@@ -171,8 +171,8 @@
         ),
         Claim("elections in a term that the replica had been in", repeated_candidacies, "==", 0),
         *outcomes.lease_claims(outcome),
-        Claim("requests accepted", len(accepted), "==", VALID_PER_REGION * len(REGIONS)),
-        Claim("of them done by the end", len(done), "==", VALID_PER_REGION * len(REGIONS)),
+        Claim("requests accepted", len(accepted_requests), "==", VALID_PER_REGION * len(REGIONS)),
+        Claim("of them done by the end", len(done_requests), "==", VALID_PER_REGION * len(REGIONS)),
         Claim("next grant after a majority is back (s)", max(next_grant_s(outcome)), "<=", MAX_NEXT_GRANT_S),
     ]
 
@@ -180,10 +180,10 @@
 def perform(trial: TrialConfig) -> Measurement:
     """Run one trial of the experiment. Raises HarnessError."""
     world = load("maintenance")
-    planned = [
+    planned_requests = [
         replace(request, deadline_in_ms=DEADLINE_MS) for request in draw_requests(world, trial.seed) if request.valid
     ]
-    scenario = Scenario(MAX_UNAVAILABLE, MIN_ALLOWANCE, planned, inject_faults, trial.seeded_fault)
+    scenario = Scenario(MAX_UNAVAILABLE, MIN_ALLOWANCE, planned_requests, inject_faults, trial.seeded_fault)
     outcome = outcomes.run(MaintenanceHarness(world, trial.seed, trial.folder, scenario))
     grant_figures = {f"next_grant_{number}_s": value for number, value in enumerate(next_grant_s(outcome))}
     return Measurement(claims(outcome), outcomes.common_figures(outcome) | grant_figures)
--- a/ryepier/experiments/maintenance/maintenance_harness.py
+++ b/ryepier/experiments/maintenance/maintenance_harness.py
@@ -264,20 +264,22 @@
     async def submit_requests(self, region: str) -> None:
         """Submit the requests of a region at their times. Raises CallError."""
         client = self.client(region)
-        region_requests = [planned for planned in self.scenario.requests if planned.region == region]
-        for planned in sorted(region_requests, key=lambda planned: planned.at_s):
-            await self.wait_until(planned.at_s)
+        region_requests = [
+            planned_request for planned_request in self.scenario.requests if planned_request.region == region
+        ]
+        for planned_request in sorted(region_requests, key=lambda planned_request: planned_request.at_s):
+            await self.wait_until(planned_request.at_s)
             now_ms = (await client.status(CALL_TIMEOUT_S)).now_ms
             request = Request(
-                name=planned.name,
+                name=planned_request.name,
                 region=region,
                 service=SERVICE,
-                converters=planned.converters,
-                max_unavailable=planned.max_unavailable,
-                duration_ms=planned.duration_ms,
-                earliest_ms=now_ms + planned.earliest_in_ms,
-                deadline_ms=now_ms + planned.deadline_in_ms,
-                priority=planned.priority,
+                converters=planned_request.converters,
+                max_unavailable=planned_request.max_unavailable,
+                duration_ms=planned_request.duration_ms,
+                earliest_ms=now_ms + planned_request.earliest_in_ms,
+                deadline_ms=now_ms + planned_request.deadline_in_ms,
+                priority=planned_request.priority,
             )
             result = await client.command(SubmitRequest(request), CALL_TIMEOUT_S)
             self.record.submitted.append(SubmittedRequest(request, now_ms, monotonic_us(), result))
--- a/ryepier/experiments/maintenance/outcome.py
+++ b/ryepier/experiments/maintenance/outcome.py
@@ -143,10 +143,10 @@
 
 def lease_claims(outcome: Outcome) -> list[Claim]:
     """Return the claims that every outage was covered by exactly one lease."""
-    unleased, doubly_leased = unleased_outages(outcome), doubly_leased_outages(outcome)
+    outages_without_lease, outages_with_several_leases = unleased_outages(outcome), doubly_leased_outages(outcome)
     return [
-        Claim("polls in which a converter that was out was under no lease", len(unleased), "==", 0),
-        Claim("converters that two leases had at once", len(doubly_leased), "==", 0),
+        Claim("polls in which a converter that was out was under no lease", len(outages_without_lease), "==", 0),
+        Claim("converters that two leases had at once", len(outages_with_several_leases), "==", 0),
     ]
 
 
@@ -178,15 +178,19 @@
 
 def accepted_requests(outcome: Outcome) -> list[SubmittedRequest]:
     """Return the requests that were accepted."""
-    return [submitted for submitted in outcome.record.submitted if isinstance(submitted.result, Accepted)]
+    return [
+        submitted_request
+        for submitted_request in outcome.record.submitted
+        if isinstance(submitted_request.result, Accepted)
+    ]
 
 
 def done_requests(outcome: Outcome) -> list[SubmittedRequest]:
     """Return the accepted requests whose converters were all warm again at the end of the run."""
     return [
-        submitted
-        for submitted in accepted_requests(outcome)
-        if done_us(outcome, submitted.request.converters) < FOREVER_US
+        submitted_request
+        for submitted_request in accepted_requests(outcome)
+        if done_us(outcome, submitted_request.request.converters) < FOREVER_US
     ]
 
 
@@ -200,15 +204,15 @@
 
 def unleased_outages(outcome: Outcome) -> list[UnleasedOutage]:
     """Return the polls without a lease on a converter that, by its own journal, was out during the whole poll."""
-    unleased = []
+    outages_without_lease = []
     for poll in outcome.record.polls:
-        leased = {name for lease in poll.status.leases for name in lease.unavailable}
+        leased_converters = {name for lease in poll.status.leases for name in lease.unavailable}
         for outage in outcome.outages:
             is_local = outcome.agreement.converters[outage.converter].region == poll.region
             is_out = outage.start_us < poll.sent_us and poll.received_us < outage.warm_us
-            if is_local and is_out and outage.converter not in leased:
-                unleased.append(UnleasedOutage(outage.converter, poll.sent_us))
-    return unleased
+            if is_local and is_out and outage.converter not in leased_converters:
+                outages_without_lease.append(UnleasedOutage(outage.converter, poll.sent_us))
+    return outages_without_lease
 
 
 def doubly_leased_outages(outcome: Outcome) -> list[Outage]:
--- a/ryepier/experiments/maintenance/overlap.py
+++ b/ryepier/experiments/maintenance/overlap.py
@@ -41,14 +41,14 @@
 def draw_requests(world: World, seed: int) -> list[PlannedRequest]:
     """Draw the requests of each region: `VALID_PER_REGION` valid ones for one converter each, and 3 invalid ones."""
     random = draws.stream(seed, "maintenance requests")
-    planned: list[PlannedRequest] = []
+    planned_requests: list[PlannedRequest] = []
     for region in REGIONS:
         converters = region_converters(world, region)
         random.shuffle(converters)
         for number, converter in enumerate(converters[:VALID_PER_REGION]):
-            planned.append(_draw_request(random, f"{region}-{number}", region, (converter,)))
-        planned += _invalid_requests(region, converters)
-    return planned
+            planned_requests.append(_draw_request(random, f"{region}-{number}", region, (converter,)))
+        planned_requests += _invalid_requests(region, converters)
+    return planned_requests
 
 
 def _draw_request(random: np.random.Generator, name: str, region: str, converters: tuple[str, ...]) -> PlannedRequest:
@@ -94,14 +94,18 @@
 
 def late_requests(outcome: Outcome) -> list[SubmittedRequest]:
     """Return the accepted requests whose converters were not all warm again by the deadline."""
-    return [submitted for submitted in outcomes.accepted_requests(outcome) if not _met_deadline(outcome, submitted)]
+    return [
+        submitted_request
+        for submitted_request in outcomes.accepted_requests(outcome)
+        if not _met_deadline(outcome, submitted_request)
+    ]
 
 
-def _met_deadline(outcome: Outcome, submitted: SubmittedRequest) -> bool:
+def _met_deadline(outcome: Outcome, submitted_request: SubmittedRequest) -> bool:
     """Return whether a request was done by its deadline, which is counted from its submission."""
-    allowed_ms = submitted.request.deadline_ms - submitted.region_now_ms
-    deadline_us = submitted.at_us + allowed_ms * 1000
-    return outcomes.done_us(outcome, submitted.request.converters) <= deadline_us
+    allowed_ms = submitted_request.request.deadline_ms - submitted_request.region_now_ms
+    deadline_us = submitted_request.at_us + allowed_ms * 1000
+    return outcomes.done_us(outcome, submitted_request.request.converters) <= deadline_us
 
 
 def utilisation(outcome: Outcome) -> float:
@@ -111,9 +115,9 @@
         problem = _problem(outcome, region)
         best_work += best_plan(problem, Job.work).value
         jobs = {job.request.name: job for job in problem.jobs}
-        for submitted in outcome.record.submitted:
-            if submitted.request.name in jobs and _met_deadline(outcome, submitted):
-                done_work += jobs[submitted.request.name].work()
+        for submitted_request in outcome.record.submitted:
+            if submitted_request.request.name in jobs and _met_deadline(outcome, submitted_request):
+                done_work += jobs[submitted_request.request.name].work()
     return done_work / best_work
 
 
@@ -122,8 +126,8 @@
     agreement = outcome.agreement
     ledger = Ledger(agreement, region)
     jobs = []
-    for submitted in outcomes.accepted_requests(outcome):
-        request = submitted.request
+    for submitted_request in outcomes.accepted_requests(outcome):
+        request = submitted_request.request
         if request.region == region:
             length_ms = request.duration_ms + agreement.services[request.service].warm_up_ms
             jobs.append(Job(request, tuple(agreement.converters[name] for name in request.converters), length_ms))
@@ -135,13 +139,13 @@
     )
 
 
-def claims(outcome: Outcome, planned: Sequence[PlannedRequest]) -> list[Claim]:
+def claims(outcome: Outcome, planned_requests: Sequence[PlannedRequest]) -> list[Claim]:
     """Return the claims of the experiment for a run."""
-    accepted = outcomes.accepted_requests(outcome)
+    accepted_requests = outcomes.accepted_requests(outcome)
     return [
         *outcomes.common_claims(outcome),
-        Claim("requests handed in", len(outcome.record.submitted), "==", len(planned)),
-        Claim("requests accepted, all that fit", len(accepted), "==", VALID_PER_REGION * len(REGIONS)),
+        Claim("requests handed in", len(outcome.record.submitted), "==", len(planned_requests)),
+        Claim("requests accepted, all that fit", len(accepted_requests), "==", VALID_PER_REGION * len(REGIONS)),
         Claim("requests that fit and were late", len(late_requests(outcome)), "==", 0),
         Claim("work done in time over the best plan's", utilisation(outcome), ">=", MIN_UTILISATION),
         *outcomes.lease_claims(outcome),
@@ -151,10 +155,10 @@
 def perform(trial: TrialConfig) -> Measurement:
     """Run one trial of the experiment. Raises HarnessError."""
     world = load("maintenance")
-    planned = draw_requests(world, trial.seed)
-    scenario = Scenario(MAX_UNAVAILABLE, MIN_ALLOWANCE, planned, seeded_fault=trial.seeded_fault)
+    planned_requests = draw_requests(world, trial.seed)
+    scenario = Scenario(MAX_UNAVAILABLE, MIN_ALLOWANCE, planned_requests, seeded_fault=trial.seeded_fault)
     outcome = outcomes.run(MaintenanceHarness(world, trial.seed, trial.folder, scenario))
-    return Measurement(claims(outcome, planned), outcomes.common_figures(outcome))
+    return Measurement(claims(outcome, planned_requests), outcomes.common_figures(outcome))
 
 
 EXPERIMENT = Benchmark(
--- a/ryepier/experiments/simulation/coverage.py
+++ b/ryepier/experiments/simulation/coverage.py
@@ -120,13 +120,15 @@
 
 def position_at(request: ClientAttempt, attempts: Sequence[ConverterAttempt], at_us: int) -> Position | None:
     """Return the position of a request at a time, or None if it has ended and no attempt is left at a converter."""
-    arrived = [attempt for attempt in attempts if attempt.first_byte_us <= at_us]
+    arrived_attempts = [attempt for attempt in attempts if attempt.first_byte_us <= at_us]
     if at_us >= request.ended_us:
-        remaining = [attempt for attempt in arrived if attempt.ended_us == NEVER or attempt.ended_us > at_us]
-        return Position(RequestState.ABANDONED_ATTEMPT, remaining[-1].uid) if remaining else None
-    if not arrived:
+        remaining_attempts = [
+            attempt for attempt in arrived_attempts if attempt.ended_us == NEVER or attempt.ended_us > at_us
+        ]
+        return Position(RequestState.ABANDONED_ATTEMPT, remaining_attempts[-1].uid) if remaining_attempts else None
+    if not arrived_attempts:
         return Position(RequestState.NOT_SENT)
-    return _position_of_attempt(arrived[-1], at_us)
+    return _position_of_attempt(arrived_attempts[-1], at_us)
 
 
 def _position_of_attempt(attempt: ConverterAttempt, at_us: int) -> Position:
--- a/ryepier/experiments/simulation/request_story.py
+++ b/ryepier/experiments/simulation/request_story.py
@@ -37,9 +37,9 @@
 
 def _client_events(request: ClientAttempt) -> list[Event]:
     wait_ms = request.deadline_us // US_PER_MS
-    sent = f"client sends {request.request_id} to sidecar {request.sidecar}, and waits {wait_ms} ms"
-    ended = f"client: {request.outcome}" + (f", status {request.status}" if request.status else "")
-    return [Event(request.sent_us, sent), Event(request.ended_us, ended)]
+    sent_text = f"client sends {request.request_id} to sidecar {request.sidecar}, and waits {wait_ms} ms"
+    ended_text = f"client: {request.outcome}" + (f", status {request.status}" if request.status else "")
+    return [Event(request.sent_us, sent_text), Event(request.ended_us, ended_text)]
 
 
 def _converter_events(attempt: ConverterAttempt) -> list[Event]:
--- a/ryepier/experiments/simulation/search.py
+++ b/ryepier/experiments/simulation/search.py
@@ -139,8 +139,8 @@
     """
 
     def breaks_same_rule(world: World) -> bool:
-        rerun = run_world(world, finding.seed, finding.seeded_fault).finding
-        return rerun is not None and bool(rerun.rules.keys() & finding.rules.keys())
+        rerun_finding = run_world(world, finding.seed, finding.seeded_fault).finding
+        return rerun_finding is not None and bool(rerun_finding.rules.keys() & finding.rules.keys())
 
     still_breaks = still_breaks or breaks_same_rule
     world = _drop_faults(finding.world, still_breaks)
@@ -149,9 +149,9 @@
         replace(world, sidecars=replace(world.sidecars, count=1)),
         replace(world, clients=replace(world.clients, retries=0)),
     )
-    for simpler in simpler_worlds:
-        if still_breaks(simpler):
-            world = simpler
+    for simpler_world in simpler_worlds:
+        if still_breaks(simpler_world):
+            world = simpler_world
     return run_world(world, finding.seed, finding.seeded_fault).finding or finding
 
 
@@ -160,9 +160,9 @@
     index = 0
     while index < len(world.faults):
         faults = world.faults[:index] + world.faults[index + 1 :]
-        smaller = msgspec.structs.replace(world, faults=faults)
-        if still_breaks(smaller):
-            world, index = smaller, 0
+        smaller_world = msgspec.structs.replace(world, faults=faults)
+        if still_breaks(smaller_world):
+            world, index = smaller_world, 0
         else:
             index += 1
     return world
--- a/ryepier/experiments/simulation/seeded_faults.py
+++ b/ryepier/experiments/simulation/seeded_faults.py
@@ -63,12 +63,12 @@
 def forget_drain() -> None:
     """Install a fault: converters that started to drain while the watch was disconnected count as ready afterwards."""
     original_on_list = DiscoveryClient.on_list
-    initialized: weakref.WeakSet[EndpointWatch] = weakref.WeakSet()
+    initialized_watches: weakref.WeakSet[EndpointWatch] = weakref.WeakSet()
 
     def on_list_without_draining(self: DiscoveryClient, message: Any) -> None:
         # the first message of a watch contains the changes that were missed while the sidecar was disconnected
-        if self.watch is not None and self.watch not in initialized:
-            initialized.add(self.watch)
+        if self.watch is not None and self.watch not in initialized_watches:
+            initialized_watches.add(self.watch)
             message["targets"] = [target for target in message["targets"] if target["state"] != "leaving"]
         original_on_list(self, message)
 
