--- a/ryepier/experiments/maintenance/maintenance_harness.py
+++ b/ryepier/experiments/maintenance/maintenance_harness.py
@@ -100,11 +100,11 @@
     """The maintenance and the faults of a run, in addition to the load of the world."""
 
     max_unavailable: int
-    min_allowance: int  # kept by a region when it gives allowance to the other one
+    min_allowance: int  # allowance that a region keeps when it gives some to the other region
     requests: Sequence[PlannedRequest]
     faults: InjectFaults | None = None
     seeded_fault: str = ""
-    relayed: bool = False  # the regions communicate through relays
+    uses_relays: bool = False  # whether the regions communicate through relays
 
 
 @dataclass(frozen=True, slots=True)
@@ -140,7 +140,7 @@
         self.agreement_path = self.write_agreement("agreement", None)
         self.agreement: Agreement = agreement_file.parse(self.agreement_path.read_bytes())
         self.region_agreements = {
-            region: self.write_agreement(f"agreement-{region}", region if scenario.relayed else None)
+            region: self.write_agreement(f"agreement-{region}", region if scenario.uses_relays else None)
             for region in REGIONS
         }
 
@@ -223,7 +223,7 @@
         """Run the schedule of the world, the agents, the requests and the faults until the end of the run."""
         for region in REGIONS:
             self.start_agent(region)
-        if self.scenario.relayed:
+        if self.scenario.uses_relays:
             await self.start_relays()
         async with asyncio.TaskGroup() as group:
             poll_tasks = [group.create_task(self.poll_status(region)) for region in REGIONS]
@@ -264,20 +264,22 @@
     async def submit_requests(self, region: str) -> None:
         """Submit the requests of a region at their times. Raises CallError."""
         client = self.client(region)
-        region_requests = [planned for planned in self.scenario.requests if planned.region == region]
-        for planned in sorted(region_requests, key=lambda planned: planned.at_s):
-            await self.wait_until(planned.at_s)
+        region_requests = [
+            planned_request for planned_request in self.scenario.requests if planned_request.region == region
+        ]
+        for planned_request in sorted(region_requests, key=lambda planned_request: planned_request.at_s):
+            await self.wait_until(planned_request.at_s)
             now_ms = (await client.status(CALL_TIMEOUT_S)).now_ms
             request = Request(
-                name=planned.name,
+                name=planned_request.name,
                 region=region,
                 service=SERVICE,
-                converters=planned.converters,
-                max_unavailable=planned.max_unavailable,
-                duration_ms=planned.duration_ms,
-                earliest_ms=now_ms + planned.earliest_in_ms,
-                deadline_ms=now_ms + planned.deadline_in_ms,
-                priority=planned.priority,
+                converters=planned_request.converters,
+                max_unavailable=planned_request.max_unavailable,
+                duration_ms=planned_request.duration_ms,
+                earliest_ms=now_ms + planned_request.earliest_in_ms,
+                deadline_ms=now_ms + planned_request.deadline_in_ms,
+                priority=planned_request.priority,
             )
             result = await client.command(SubmitRequest(request), CALL_TIMEOUT_S)
             self.record.submitted.append(SubmittedRequest(request, now_ms, monotonic_us(), result))
--- a/ryepier/experiments/maintenance/outcome.py
+++ b/ryepier/experiments/maintenance/outcome.py
@@ -38,20 +38,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """The time for which maintenance windows had a converter out: from its drain until it was warm again.
+    """The time for which a converter was out of service for maintenance: from its drain until it was warm again.
 
-    `tokens` are the fencing tokens of the windows.
+    `tokens` are the fencing tokens of the maintenance windows that drained or stopped it.
     """
 
     converter: str
     start_us: int
-    warm_us: int  # FOREVER_US if it did not recover during the run
+    warm_us: int  # FOREVER_US if the converter did not become warm again during the run
     tokens: frozenset[int]
 
 
 @dataclass(frozen=True, slots=True)
 class UnleasedOutage:
-    """A status poll, sent at `polled_at_us`, that showed no lease on a converter that was out."""
+    """A status poll, sent at `polled_at_us`, that showed no lease on a converter that was out of service."""
 
     converter: str
     polled_at_us: int
@@ -143,10 +143,10 @@
 
 def lease_claims(outcome: Outcome) -> list[Claim]:
     """Return the claims that every outage was covered by exactly one lease."""
-    unleased, doubly_leased = unleased_outages(outcome), doubly_leased_outages(outcome)
+    outages_without_lease, outages_with_several_leases = unleased_outages(outcome), doubly_leased_outages(outcome)
     return [
-        Claim("polls in which a converter that was out was under no lease", len(unleased), "==", 0),
-        Claim("converters that two leases had at once", len(doubly_leased), "==", 0),
+        Claim("polls in which a converter that was out was under no lease", len(outages_without_lease), "==", 0),
+        Claim("converters that two leases had at once", len(outages_with_several_leases), "==", 0),
     ]
 
 
@@ -178,15 +178,19 @@
 
 def accepted_requests(outcome: Outcome) -> list[SubmittedRequest]:
     """Return the requests that were accepted."""
-    return [submitted for submitted in outcome.record.submitted if isinstance(submitted.result, Accepted)]
+    return [
+        submitted_request
+        for submitted_request in outcome.record.submitted
+        if isinstance(submitted_request.result, Accepted)
+    ]
 
 
 def done_requests(outcome: Outcome) -> list[SubmittedRequest]:
     """Return the accepted requests whose converters were all warm again at the end of the run."""
     return [
-        submitted
-        for submitted in accepted_requests(outcome)
-        if done_us(outcome, submitted.request.converters) < FOREVER_US
+        submitted_request
+        for submitted_request in accepted_requests(outcome)
+        if done_us(outcome, submitted_request.request.converters) < FOREVER_US
     ]
 
 
@@ -200,19 +204,19 @@
 
 def unleased_outages(outcome: Outcome) -> list[UnleasedOutage]:
     """Return the polls without a lease on a converter that, by its own journal, was out during the whole poll."""
-    unleased = []
+    outages_without_lease = []
     for poll in outcome.record.polls:
-        leased = {name for lease in poll.status.leases for name in lease.unavailable}
+        leased_converters = {name for lease in poll.status.leases for name in lease.unavailable}
         for outage in outcome.outages:
             is_local = outcome.agreement.converters[outage.converter].region == poll.region
             is_out = outage.start_us < poll.sent_us and poll.received_us < outage.warm_us
-            if is_local and is_out and outage.converter not in leased:
-                unleased.append(UnleasedOutage(outage.converter, poll.sent_us))
-    return unleased
+            if is_local and is_out and outage.converter not in leased_converters:
+                outages_without_lease.append(UnleasedOutage(outage.converter, poll.sent_us))
+    return outages_without_lease
 
 
 def doubly_leased_outages(outcome: Outcome) -> list[Outage]:
-    """Return the outages of converters that more than one lease had out."""
+    """Return the outages with steps under the fencing tokens of more than one lease."""
     return [outage for outage in outcome.outages if len(outage.tokens) > 1]
 
 
