--- a/ryepier/balancer/feedback.py
+++ b/ryepier/balancer/feedback.py
@@ -51,7 +51,7 @@
         adapted."""
         upstream = attempt.upstream
         pool = self.membership.pool_of(upstream)
-        verdict = self.outliers.observe_fault(attempt)
+        verdict = self.outliers.assess_attempt(attempt)
         if verdict is FaultVerdict.TOLERATED:
             return False
         is_faulty = verdict is FaultVerdict.FAULTY
--- a/ryepier/balancer/outlier_detection.py
+++ b/ryepier/balancer/outlier_detection.py
@@ -33,7 +33,7 @@
         self.random = random
         self.last_ejection_ends_at_us = 0  # latest end of all ejections for a class
 
-    def observe_fault(self, attempt: Attempt) -> FaultVerdict:
+    def assess_attempt(self, attempt: Attempt) -> FaultVerdict:
         """Count whether an attempt was a fault (see `FAULT_OUTCOMES`), and return how to treat it.
 
         Faults that affect all upstreams equally must not eject them, so an upstream's share of faults is
@@ -127,7 +127,7 @@
     def _is_overtaken(attempt: Attempt) -> bool:
         """Return whether enough later attempts were answered to presume that an attempt is lost, not
         queued."""
-        return attempt.overtake_count >= tuning.LOST_ATTEMPT_OVERTAKES
+        return attempt.overtake_count >= tuning.LOST_ATTEMPT_OVERTAKE_THRESHOLD
 
     def on_answer(self, attempt: Attempt, earlier_attempts: Iterable[Attempt]) -> None:
         """Record that an attempt was answered before `earlier_attempts`, which its upstream got earlier."""
--- a/ryepier/balancer/tuning.py
+++ b/ryepier/balancer/tuning.py
@@ -20,7 +20,8 @@
 POOL_FAULT_WINDOW = 64  # attempts in the moving average of a pool's share of faults
 POOL_FAULT_FACTOR = 2  # multiple of the pool's share of faults that is tolerated in addition
 MAX_POOL_FAULT_ALLOWANCE = 1 / 3  # limit of the additional share, so that four faults in a row always count
-LOST_ATTEMPT_OVERTAKES = 4  # answers to later attempts after which an attempt is presumed lost, not queued
+# Answers to later attempts after which an attempt is presumed lost, not queued.
+LOST_ATTEMPT_OVERTAKE_THRESHOLD = 4
 UNANSWERED_WINDOW = 16  # attempts of a class in the moving average of an upstream's unanswered share
 UNANSWERED_TOLERANCE = 0.1  # share of unanswered attempts at which the selection weight is a quarter
 REJECTION_TOLERANCE = 0.1  # share of rejections of a class at which the selection weight is half
--- a/ryepier/check/canonical.py
+++ b/ryepier/check/canonical.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from ryepier.balancer import upstream
-from ryepier.balancer.tuning import LOST_ATTEMPT_OVERTAKES
+from ryepier.balancer.tuning import LOST_ATTEMPT_OVERTAKE_THRESHOLD
 from ryepier.check.model import Model
 from ryepier.check.observations import SentAttempt
 from ryepier.check.state import ModelState
@@ -70,7 +70,7 @@
         return (
             self.permutation[attempt.entry.id],
             self.relative_time_us(attempt.sent_at_us),
-            min(attempt.overtake_count, LOST_ATTEMPT_OVERTAKES),
+            min(attempt.overtake_count, LOST_ATTEMPT_OVERTAKE_THRESHOLD),
             attempt.overtaken_in_class,
             attempt.overdue,
             attempt.presumed_lost,
--- a/ryepier/check/line_coverage.py
+++ b/ryepier/check/line_coverage.py
@@ -47,7 +47,7 @@
     code: CodeType
 
 
-class UnreachedFunction(NamedTuple):
+class UncoveredLines(NamedTuple):
     """A function that was not executed completely."""
 
     name: str  # module name, class name and method name
@@ -97,12 +97,12 @@
         sys.settrace(original)
 
 
-def unreached_functions(executed: Lines) -> list[UnreachedFunction]:
+def uncovered_lines(executed: Lines) -> list[UncoveredLines]:
     """Return the methods in `MODULES` that were not executed completely, with the missing lines."""
-    functions = []
+    uncovered = []
     for module in MODULES:
         for method in methods(module):
             missing = sorted(code_lines(method.code) - executed[str(module.__file__)])
             if missing:
-                functions.append(UnreachedFunction(f"{module.__name__}: {method.name}", missing))
-    return functions
+                uncovered.append(UncoveredLines(f"{module.__name__}: {method.name}", missing))
+    return uncovered
--- a/ryepier/commands/check.py
+++ b/ryepier/commands/check.py
@@ -159,11 +159,11 @@
     with line_coverage.record_lines() as executed_lines:
         for name in names or tuple(MODELS):
             expand_breadth_first(MODELS[name])
-    unreached_functions = line_coverage.unreached_functions(executed_lines)
+    uncovered_lines = line_coverage.uncovered_lines(executed_lines)
     if as_json:
-        print(json.dumps(unreached_functions))
+        print(json.dumps(uncovered_lines))
         return
-    for function, missing_lines in unreached_functions:
+    for function, missing_lines in uncovered_lines:
         print(f"{function}: {', '.join(map(str, missing_lines))}")
 
 
--- a/ryepier/experiments/load_spread/trials.py
+++ b/ryepier/experiments/load_spread/trials.py
@@ -68,7 +68,7 @@
         rejected_share=sum(request.rejected for request in requests) / len(requests),
         late_share=sum(latency_us > trial.plan.objective_us for latency_us in latencies_us) / len(requests),
         p99_ms=float(np.percentile(latencies_us, 99)) / US_PER_MS,
-        mean_open_connections=sum(counter.mean_open(begin_us, end_us) for counter in counters),
+        mean_open_connections=sum(counter.mean_open_count(begin_us, end_us) for counter in counters),
         opened_per_s=sum(counter.opened_count for counter in counters) * SECOND_US / (end_us - begin_us),
         worst_warm_up_load=max(
             (worst_warm_up_load(trial.plan, converter) for converter in restarted_converters), default=0.0
--- a/ryepier/experiments/maintenance/fleet_process.py
+++ b/ryepier/experiments/maintenance/fleet_process.py
@@ -108,7 +108,7 @@
         super().__init__(plan, clock, timeline)
         self.current_instances = {instance.uid: instance for instance in self.instances}
         self.incarnations = dict.fromkeys(self.current_instances, 0)
-        self.running = set(self.current_instances)
+        self.running_names = set(self.current_instances)
         self.control_server = ControlServer(
             converters_control_address(plan),
             Path(sys.argv[2] + JOURNAL_SUFFIX),
@@ -126,8 +126,8 @@
 
     async def stop_converter(self, call: FleetCall) -> FleetReply:
         """Stop a converter; do nothing if it is already stopped."""
-        if call.converter in self.running:
-            self.running.discard(call.converter)
+        if call.converter in self.running_names:
+            self.running_names.discard(call.converter)
             self.servers[self.current_instances[call.converter].index].stop()
             self.control_server.record(Action.STOP, call)
         return FleetReply()
@@ -135,7 +135,7 @@
     async def start_next_incarnation(self, call: FleetCall) -> FleetReply:
         """Start the next incarnation of a stopped converter, cold and at a new address, and reply with its uid."""
         name = call.converter
-        if name not in self.running:
+        if name not in self.running_names:
             old_instance = self.current_instances[name]
             self.incarnations[name] += 1
             index = old_instance.index + self.plan.world.converter_count
@@ -144,7 +144,7 @@
             )
             await self.start_instance(new_instance)
             self.current_instances[name] = new_instance
-            self.running.add(name)
+            self.running_names.add(name)
             self.control_server.record(Action.START, call)
         return FleetReply(uid=self.current_instances[name].uid)
 
--- a/ryepier/experiments/maintenance/kill.py
+++ b/ryepier/experiments/maintenance/kill.py
@@ -44,13 +44,13 @@
     for state in KILL_STATES:
         leader = await _wait_for_leader(harness, NORTH, partial(_has_lease_in_state, state))
         harness.kill_coordinators(leader)
-        _record_majority(harness, NORTH)  # the two remaining replicas are a majority
+        _record_majority_restored(harness, NORTH)  # the two remaining replicas are a majority
         await asyncio.sleep(DOWN_S)
         harness.start_coordinator(leader)
         await asyncio.sleep(KILL_INTERVAL_S)
 
 
-def _record_majority(harness: MaintenanceHarness, region: str) -> None:
+def _record_majority_restored(harness: MaintenanceHarness, region: str) -> None:
     """Record that a region has a majority again, as of now."""
     harness.record.majorities_restored.append(MajorityRestored(region, monotonic_us()))
 
@@ -100,7 +100,7 @@
     for name in replicas:
         harness.start_coordinator(name)
     await _wait_for_majority(harness, SOUTH)
-    _record_majority(harness, SOUTH)
+    _record_majority_restored(harness, SOUTH)
     await harness.wait_until(EMPTY_DISK_AT_S)
     await _restart_with_empty_disk(harness)
 
@@ -111,7 +111,7 @@
     follower = next(name for name in replica_names(SOUTH) if name != leader)
     harness.kill_coordinators(follower)
     shutil.rmtree(harness.coordinator_folder(follower))
-    _record_majority(harness, SOUTH)
+    _record_majority_restored(harness, SOUTH)
     harness.start_coordinator(follower)
 
 
--- a/ryepier/experiments/scale/control.py
+++ b/ryepier/experiments/scale/control.py
@@ -32,7 +32,7 @@
 from ryepier.experiments.scale.instrumented_planner import PlannerUsage
 from ryepier.experiments.scale.lightweight_forwarders import ForwardersConfig, converter_uid
 from ryepier.experiments.scale.machine_load import finite_figures, load_figures
-from ryepier.plan.planner_server import TICK_S
+from ryepier.plan.planner_server import TICK_INTERVAL_S
 
 DESIGN_FLEET_SIZE = 1600
 DESIGN_PLANNER_COUNT = 7
@@ -52,7 +52,7 @@
 # with the seeded fault, the reports of a large fleet on all 1,600 converters would not fit into memory
 SEEDED_FAULT_FLEET_SIZES = {30: (25, 50, 100, 200)}
 REPORTS_PER_S = 2.0  # reports of a forwarder, by default
-TICKS_PER_S = 1.0 / TICK_S
+TICKS_PER_S = 1.0 / TICK_INTERVAL_S
 WORKER_COUNT = {Scale.SMALL: 2, Scale.FULL: 4}
 FULL_REPORTS = "whole-reports"  # seeded fault: forwarders report on all converters
 WORKER_MODULE = "ryepier.experiments.scale.lightweight_forwarders"
--- a/ryepier/fronts/graphql.py
+++ b/ryepier/fronts/graphql.py
@@ -16,7 +16,7 @@
 from ryepier.sidecar.dispatcher import RequestDispatcher
 from ryepier.sidecar.request_parsing import (
     HOP_BY_HOP_HEADERS,
-    IDENTIFIER,
+    IDENTIFIER_PATTERN,
     Dialect,
     PlatformDialect,
     RequestError,
@@ -173,7 +173,7 @@
         Raises RequestError if the client's is not valid.
         """
         request_id = headers_by_name.get(b"x-request-id") or os.urandom(NEW_REQUEST_ID_BYTES).hex().encode()
-        if not IDENTIFIER.fullmatch(request_id):
+        if not IDENTIFIER_PATTERN.fullmatch(request_id):
             raise RequestError(400, "no X-Request-Id that can be used")
         return request_id
 
--- a/ryepier/maintenance/agreement.py
+++ b/ryepier/maintenance/agreement.py
@@ -99,20 +99,20 @@
 
         The initial allowances add up to the result, which is negative if the capacity is less than the agreed minimum.
         """
-        terms = self.services[service]
-        return self.capacity(service) - terms.min_available - self._zone_loss_reserve(terms, None)
+        agreed_service = self.services[service]
+        return self.capacity(service) - agreed_service.min_available - self._zone_loss_reserve(agreed_service, None)
 
     def max_unavailable_in(self, service: str, region: str) -> int:
         """Return how much of a service's capacity may be unavailable in one region under the region's own minimum."""
-        terms = self.services[service]
-        min_available = terms.min_available_by_region.get(region, 0)
-        return self.capacity(service, region) - min_available - self._zone_loss_reserve(terms, region)
+        agreed_service = self.services[service]
+        min_available = agreed_service.min_available_by_region.get(region, 0)
+        return self.capacity(service, region) - min_available - self._zone_loss_reserve(agreed_service, region)
 
-    def _zone_loss_reserve(self, terms: Service, region: str | None) -> int:
+    def _zone_loss_reserve(self, agreed_service: Service, region: str | None) -> int:
         """Return the capacity of the service's largest zone if the loss of a zone must be tolerated, else 0."""
-        if not terms.tolerates_zone_loss:
+        if not agreed_service.tolerates_zone_loss:
             return 0
-        return max(self.zone_capacities(terms.name, region).values(), default=0)
+        return max(self.zone_capacities(agreed_service.name, region).values(), default=0)
 
 
 def to_thousandths(amount: float) -> int:
--- a/ryepier/maintenance/capacity.py
+++ b/ryepier/maintenance/capacity.py
@@ -71,21 +71,21 @@
         """Return the names of the converters that open leases keep out of service."""
         return {name for lease in self.state.leases.values() for name in lease.unavailable}
 
-    def charge(self, limit: Limit, unavailable: set[str]) -> int:
-        """Return the capacity charged against a limit if the converters in `unavailable` are out of service."""
+    def charge(self, limit: Limit, unavailable_names: set[str]) -> int:
+        """Return the capacity charged against a limit with the converters in `unavailable_names` out of service."""
         return sum(
-            converter.size if converter.name in unavailable else self.lost_capacity(converter)
+            converter.size if converter.name in unavailable_names else self.lost_capacity(converter)
             for converter in self._converters[limit.service]
             if limit.applies_to(converter)
         )
 
-    def describe_first_exceeded_limit(self, service: str, unavailable: set[str]) -> str | None:
-        """Describe, in one line, the first limit that is exceeded with the converters in `unavailable` out of service.
+    def describe_first_exceeded_limit(self, service: str, unavailable_names: set[str]) -> str | None:
+        """Describe, in one line, the first limit exceeded with the converters in `unavailable_names` out of service.
 
         Returns None if every limit holds.
         """
         for limit in self.limits(service):
-            charge = self.charge(limit, unavailable)
+            charge = self.charge(limit, unavailable_names)
             if charge > limit.bound:
                 return (
                     f"{limit.name}: {format_capacity(charge)} would be out or lost and at most "
--- a/ryepier/maintenance/judge.py
+++ b/ryepier/maintenance/judge.py
@@ -20,14 +20,14 @@
 class CapacityChange:
     """A change of how much of a converter is unavailable, through a planned outage or a loss.
 
-    From `at_ms` on, `missing_share` thousandths of the converter's size are unavailable; 0 ends the outage or loss. A
-    planned outage lasts from the grant of the lease or from the start of the drain, as the caller chooses, until the
-    converter is warm. The whole converter counts as missing in a planned outage, but only `missing_share` in a loss.
+    From `at_ms` on, `missing_thousandths` of the converter's size are unavailable; 0 ends the outage or loss. A planned
+    outage lasts from the grant of the lease or from the start of the drain, as the caller chooses, until the converter
+    is warm. The whole converter counts as missing in a planned outage, but only `missing_thousandths` in a loss.
     """
 
     at_ms: int
     converter: str
-    missing_share: int
+    missing_thousandths: int
     planned: bool
 
 
@@ -56,7 +56,7 @@
 class _Loss:
     """The share of a converter that is lost, in thousandths, and the time at which the loss began."""
 
-    missing_share: int
+    missing_thousandths: int
     began_at_ms: int
 
 
@@ -79,7 +79,7 @@
     def apply(self, change: CapacityChange) -> list[Breach]:
         """Record a change and, if it starts a planned outage, return the breaches. Losses do not count as missing."""
         self._record(change)
-        if not (change.planned and change.missing_share):
+        if not (change.planned and change.missing_thousandths):
             return []
         return self._find_breaches(change, {})
 
@@ -92,7 +92,7 @@
         returned only if `include_global` is true. The change must not have been recorded before.
         """
         lost_shares = {
-            name: loss.missing_share
+            name: loss.missing_thousandths
             for name, loss in self._losses.items()
             if loss.began_at_ms + detection_delay_ms <= change.at_ms
         }
@@ -103,12 +103,12 @@
         """Update the recorded planned outages and losses."""
         if change.planned:
             self._planned_outages.discard(change.converter)
-            if change.missing_share:
+            if change.missing_thousandths:
                 self._planned_outages.add(change.converter)
-        elif change.missing_share:
+        elif change.missing_thousandths:
             earlier_loss = self._losses.get(change.converter)
             self._losses[change.converter] = _Loss(
-                change.missing_share, earlier_loss.began_at_ms if earlier_loss else change.at_ms
+                change.missing_thousandths, earlier_loss.began_at_ms if earlier_loss else change.at_ms
             )
         else:
             self._losses.pop(change.converter, None)
@@ -173,7 +173,7 @@
     """
     checker = AgreementChecker(agreement)
     for change in sorted(changes, key=_sort_key):
-        if change.planned and change.missing_share:
+        if change.planned and change.missing_thousandths:
             yield from checker.check_grant(change, detection_delay_ms)
         else:
             checker.apply(change)
@@ -181,4 +181,4 @@
 
 def _sort_key(change: CapacityChange) -> _ChangeKey:
     """Return the sort key of a change."""
-    return _ChangeKey(change.at_ms, change.missing_share > 0)
+    return _ChangeKey(change.at_ms, change.missing_thousandths > 0)
--- a/ryepier/maintenance/limits.py
+++ b/ryepier/maintenance/limits.py
@@ -32,10 +32,10 @@
 
 def region_limits(agreement: Agreement, region: str, service: str) -> tuple[Limit, ...]:
     """Return the limits set by the region's own minimum: one, or one per zone if a zone loss must be tolerated."""
-    terms = agreement.services[service]
-    max_unavailable = agreement.capacity(service, region) - terms.min_available_by_region.get(region, 0)
+    agreed_service = agreement.services[service]
+    max_unavailable = agreement.capacity(service, region) - agreed_service.min_available_by_region.get(region, 0)
     name = f"the minimum capacity of {service!r} in {region!r}"
-    if not terms.tolerates_zone_loss:
+    if not agreed_service.tolerates_zone_loss:
         return (Limit(name, service, max_unavailable),)
     zone_capacities = agreement.zone_capacities(service, region)
     return tuple(
--- a/ryepier/plan/planner_server.py
+++ b/ryepier/plan/planner_server.py
@@ -29,7 +29,7 @@
 
 log = logging.getLogger(__name__)
 
-TICK_S = 0.25  # heartbeat interval
+TICK_INTERVAL_S = 0.25  # heartbeat interval
 TICKS_PER_PLAN = 2
 TICKS_PER_SNAPSHOT = 4
 TICKS_PER_EXPIRY = 40  # interval between removals of expired evidence
@@ -222,10 +222,10 @@
             await asyncio.sleep(PEER_RETRY_S * (0.5 + self.machine.random.random()))
 
     async def run_ticks(self) -> None:
-        """Run a tick every `TICK_S` until the task is cancelled."""
+        """Run a tick every `TICK_INTERVAL_S` until the task is cancelled."""
         tick_number = 0
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
             tick_number += 1
             try:
                 self.tick(self.machine.clock_us(), tick_number)
--- a/ryepier/sidecar/connection_pool.py
+++ b/ryepier/sidecar/connection_pool.py
@@ -23,7 +23,7 @@
 # If more than this share of the reused connections breaks, new connections are cheaper, as a lost request costs about
 # as much as ten of them.
 MAX_BREAK_SHARE = 0.15
-BREAK_SHARE_DECAY = 0.99  # applied for each connection that is not reused, so that reuse is tried again later
+BREAK_SHARE_DECAY_FACTOR = 0.99  # applied for each connection that is not reused, so that reuse is tried again later
 SWEEP_INTERVAL_S = 0.1
 FIRST_SWEEP_DELAY_S = 1.0  # after the pool is created
 
@@ -149,7 +149,7 @@
         """
         bucket = idle_us.bit_length()
         if self.break_shares[bucket] > MAX_BREAK_SHARE:
-            self.break_shares[bucket] *= BREAK_SHARE_DECAY
+            self.break_shares[bucket] *= BREAK_SHARE_DECAY_FACTOR
             return False
         return True
 
--- a/ryepier/sidecar/request_parsing.py
+++ b/ryepier/sidecar/request_parsing.py
@@ -60,7 +60,7 @@
 )
 # Bytes that are not percent-encoded in a URL
 UNRESERVED_URL_BYTES = frozenset(b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789_.-~")
-IDENTIFIER = re.compile(rb"[!-~]{1,128}")
+IDENTIFIER_PATTERN = re.compile(rb"[!-~]{1,128}")
 HEADER_VALUE = re.compile(rb"[\t -~]*")
 NAME_HEADER_VALUE = re.compile(rb"[\t -~\x80-\xff]*")
 # Headers whose values are names from the settings, which may have non-ASCII characters
@@ -178,7 +178,7 @@
         """
         headers_by_name = parse_headers(headers, UNREPEATABLE_HEADERS)
         index = self._class_index(target, headers_by_name)
-        if not IDENTIFIER.fullmatch(headers_by_name.get(REQUEST_ID_HEADER, b"")):
+        if not IDENTIFIER_PATTERN.fullmatch(headers_by_name.get(REQUEST_ID_HEADER, b"")):
             raise RequestError(400, "no X-Request-Id")
         request_class = self.settings.classes[index]
         self._check_method(request_class.idempotency, method, body)
@@ -219,7 +219,7 @@
     @staticmethod
     def _check_idempotency_key(idempotency: Idempotency, headers_by_name: Mapping[bytes, bytes]) -> None:
         if idempotency is Idempotency.IDEMPOTENCY_KEY:
-            if not IDENTIFIER.fullmatch(headers_by_name.get(IDEMPOTENCY_KEY_HEADER, b"")):
+            if not IDENTIFIER_PATTERN.fullmatch(headers_by_name.get(IDEMPOTENCY_KEY_HEADER, b"")):
                 raise RequestError(400, "no Idempotency-Key")
         elif IDEMPOTENCY_KEY_HEADER in headers_by_name:
             raise RequestError(400, "an Idempotency-Key, but not for this class")
--- a/ryepier/sim/fleet/connections.py
+++ b/ryepier/sim/fleet/connections.py
@@ -29,7 +29,7 @@
         self.open_connection_us = self.opened_count = 0
         self.max_open_count = self.open_count
 
-    def mean_open(self, since_us: int, now_us: int) -> float:
+    def mean_open_count(self, since_us: int, now_us: int) -> float:
         """Return the mean number of open connections from the reset of the counts at `since_us` to `now_us`."""
         return (self.open_connection_us + self.open_count * (now_us - self.last_change_us)) / max(1, now_us - since_us)
 
--- a/ryepier/storm/storm_detector.py
+++ b/ryepier/storm/storm_detector.py
@@ -33,8 +33,8 @@
 RECENT_OUTAGE_US = 30_000_000  # time after its end for which an outage is reported as evidence
 # If a larger share of the first attempts is not served, fewer retries are admitted.
 MAX_UNSERVED_FIRST_ATTEMPT_SHARE = 0.3
-ADMISSION_DECREASE = 0.8  # factor per tick by which the admitted share of retries decreases
-ADMISSION_INCREASE = 1.25  # factor per tick by which the admitted share of retries increases
+ADMISSION_DECREASE_FACTOR = 0.8  # factor per tick by which the admitted share of retries decreases
+ADMISSION_INCREASE_FACTOR = 1.25  # factor per tick by which the admitted share of retries increases
 ADMISSION_INCREASE_STEP = 0.02  # added to the admitted share per tick when it increases, in addition to the factor
 # Lowest admitted share of retries. Admitting none does not help if first attempts are rejected for another reason.
 MIN_RETRY_ADMISSION = 0.05
@@ -138,9 +138,9 @@
         if not was_active:
             self.retry_admission = 1.0
         elif self.unserved_first_attempt_rate > MAX_UNSERVED_FIRST_ATTEMPT_SHARE * self.arrival_rates[0]:
-            self.retry_admission = max(MIN_RETRY_ADMISSION, self.retry_admission * ADMISSION_DECREASE)
+            self.retry_admission = max(MIN_RETRY_ADMISSION, self.retry_admission * ADMISSION_DECREASE_FACTOR)
         else:
-            self.retry_admission = min(1.0, self.retry_admission * ADMISSION_INCREASE + ADMISSION_INCREASE_STEP)
+            self.retry_admission = min(1.0, self.retry_admission * ADMISSION_INCREASE_FACTOR + ADMISSION_INCREASE_STEP)
         if self.active:
             self._close_if_calm(now_us, evidence)
         else:
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -118,7 +118,7 @@
     assert missing == []
 
 
-def test_external_names_appear_in_no_other_module() -> None:
+def test_external_names_appear_only_in_the_listed_modules() -> None:
     mapped = {(f"ryepier.{module}", name) for name, module in EXTERNAL_NAME_ROWS}
     occurrences = {
         (module, name)
--- a/tests/test_load_spread.py
+++ b/tests/test_load_spread.py
@@ -97,7 +97,7 @@
     pool.release(30, reusable=True)
     pool.close_idle(50, idle_before_us=30)
     assert (counter.opened_count, counter.max_open_count, counter.open_count) == (2, 2, 0)
-    assert counter.mean_open(0, 100) == pytest.approx((2 * 10 + 1 * 40) / 100)
+    assert counter.mean_open_count(0, 100) == pytest.approx((2 * 10 + 1 * 40) / 100)
 
 
 def test_random_choice_uses_only_listed_converters() -> None:
--- a/tests/test_model_checking.py
+++ b/tests/test_model_checking.py
@@ -92,8 +92,8 @@
 def test_lines_that_no_path_executes_are_listed() -> None:
     with line_coverage.record_lines() as executed:
         replay(Model("m", 1, ("ask",)), [ARRIVE, Step(Action.ANSWER, 0, "ok")])
-    unreached = dict(line_coverage.unreached_functions(executed))
-    assert "ryepier.sidecar.dispatcher: RequestDispatcher._on_overdue" in unreached
+    uncovered = dict(line_coverage.uncovered_lines(executed))
+    assert "ryepier.sidecar.dispatcher: RequestDispatcher._on_overdue" in uncovered
     # `on_request` is executed except for the lines that call observers.
-    assert "ryepier.sidecar.dispatcher: RequestDispatcher.on_request" in unreached
-    assert len(unreached["ryepier.sidecar.dispatcher: RequestDispatcher.on_request"]) < 3
+    assert "ryepier.sidecar.dispatcher: RequestDispatcher.on_request" in uncovered
+    assert len(uncovered["ryepier.sidecar.dispatcher: RequestDispatcher.on_request"]) < 3
