--- a/ryepier/balancer/balancer.py
+++ b/ryepier/balancer/balancer.py
@@ -222,7 +222,8 @@
         retry_after_us = 0
         if self.settings.retry_after:
             if storm.active and storm.retry_after_windows_us:
-                # A client that obeys Retry-After sends fewer retries. Count the retry that it leaves out.
+                # A client that obeys Retry-After sends fewer retries, which would otherwise add credit. Add
+                # the credit of one omitted retry here, so that the wait does not lower the counted demand.
                 self.count_demand()
             retry_after_us = self.retries.retry_after_us(request, storm)
         request_id = request.event.request
--- a/ryepier/balancer/outlier_detection.py
+++ b/ryepier/balancer/outlier_detection.py
@@ -34,7 +34,7 @@
         self.last_ejection_ends_at_us = 0  # latest end of all ejections for a class
 
     def assess_attempt(self, attempt: Attempt) -> FaultVerdict:
-        """Count whether an attempt was a fault (see `FAULT_OUTCOMES`), and return how to treat it.
+        """Update the fault shares with an ended attempt (see `FAULT_OUTCOMES`), and return how to treat it.
 
         Faults that affect all upstreams equally must not eject them, so an upstream's share of faults is
         compared with that of its pool. A rejection shows the state of the upstream itself, so a single
--- a/ryepier/balancer/retries.py
+++ b/ryepier/balancer/retries.py
@@ -146,8 +146,9 @@
         last_index = len(storm.retry_after_windows_us) - 1
         window_us = storm.retry_after_windows_us[min(request.event.retry_number, last_index)]
         if storm.retry_after_in_seconds and max_us >= tuning.SECOND_US:
-            # The time is drawn in whole seconds. A rounded time would let all clients that were rejected
-            # within one second return together.
+            # Draw whole seconds, from a window of at least two seconds if `max_us` allows it. These clients
+            # round fractions, so waits drawn from a short window would all become the same second, and all
+            # clients rejected within one second would retry together.
             max_s = min(max_us, max(window_us, 2 * tuning.SECOND_US)) // tuning.SECOND_US
             return tuning.SECOND_US * self.random.randint(1, max_s)
         wait_us = window_us * self.random.uniform(tuning.MIN_RETRY_AFTER_SHARE, 1)
--- a/ryepier/check/explore.py
+++ b/ryepier/check/explore.py
@@ -124,7 +124,10 @@
 
 
 class _Explorer:
-    """The progress of an exploration: the digests of all states found, and the paths to expand next."""
+    """Explores the states of a model level by level.
+
+    Holds the digests of all states found, the paths to expand next, and the counts of the exploration.
+    """
 
     def __init__(self, model: Model, checkpoint: Path | None) -> None:
         self.model = model
--- a/ryepier/check/line_coverage.py
+++ b/ryepier/check/line_coverage.py
@@ -48,7 +48,7 @@
 
 
 class UncoveredLines(NamedTuple):
-    """A function that was not executed completely."""
+    """The lines of a method that were not executed; the method may have been executed in part."""
 
     name: str  # module name, class name and method name
     lines: list[int]  # line numbers that were not executed
@@ -98,7 +98,7 @@
 
 
 def uncovered_lines(executed: Lines) -> list[UncoveredLines]:
-    """Return the methods in `MODULES` that were not executed completely, with the missing lines."""
+    """Return the uncovered lines of each method in `MODULES` that was not executed completely."""
     uncovered = []
     for module in MODULES:
         for method in methods(module):
--- a/ryepier/maintenance/planner.py
+++ b/ryepier/maintenance/planner.py
@@ -55,9 +55,9 @@
     def warm_ups_to_restart(self, probes: Iterable[WarmthProbe]) -> list[str]:
         """Return the converters of released leases whose warm-up appears to have started before the lease was granted.
 
-        Either the listing is outdated, or this observer did not know the region's time yet when it first saw the
-        converter's incarnation. The caller must restart the warm-up of these converters: after another full warm-up
-        time in the listing, both explanations are ruled out.
+        Either discovery's endpoint list is outdated, or this observer did not know the region's time yet when it first
+        saw the converter's incarnation. The caller must restart the warm-up of these converters: once they have been
+        listed as ready for another full warm-up time, neither can be the cause.
         """
         names = []
         for probe in probes:
--- a/ryepier/maintenance/submission.py
+++ b/ryepier/maintenance/submission.py
@@ -1,7 +1,7 @@
 """Validates new requests.
 
-A request that can never be placed is rejected on submission. The reason gives the time that is missing until its
-deadline, or the amount by which a converter exceeds the capacity that may be unavailable.
+A request that can never be placed is rejected on submission. The reason states by how much the time until the deadline
+is too short, or by how much a converter exceeds the capacity that may be unavailable.
 """
 
 from __future__ import annotations
--- a/ryepier/sidecar/client_connection.py
+++ b/ryepier/sidecar/client_connection.py
@@ -123,7 +123,7 @@
         """Move a connection to another state."""
 
     def remove(self, client: ClientConnection) -> None:
-        """Remove a connection."""
+        """Stop tracking a connection; its later state changes are ignored."""
 
 
 class ClientConnection(asyncio.Protocol):
--- a/ryepier/sidecar/upstream_attempt.py
+++ b/ryepier/sidecar/upstream_attempt.py
@@ -67,7 +67,7 @@
         return self.write_started and (self.connection is None or not self.connection.partly_written)
 
     def remaining_us(self) -> int:
-        """Return the time left for the response, until the attempt's timeout or the request is due."""
+        """Return the time in microseconds until the attempt times out or the request is due, whichever is first."""
         return min(self.timeout_at_us, self.request.due_at_us or self.timeout_at_us) - clock_us()
 
     def is_expired(self) -> bool:
--- a/tests/disconnect_testbed.py
+++ b/tests/disconnect_testbed.py
@@ -36,7 +36,7 @@
 
 
 def reset(sock: socket.socket) -> None:
-    """Reset the connection."""
+    """Reset the connection: with a linger time of 0, closing the socket sends RST instead of FIN."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True)
 class Verdict:
-    """The lines that a run prints about the list at its end, and the errors that make the run fail."""
+    """The notes about listed tests to print at the end of a test run, and the errors that make the run fail."""
 
     notes: Sequence[str]
     errors: Sequence[str]
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -42,7 +42,7 @@
 RUN_TIMEOUT_S = 60.0
 # In a single run of an order, the seeded fault may hit no open request.
 SEEDED_FAULT_REPEATS = 4
-MIN_REQUESTS_PER_CONVERTER = 3  # sent to each faulty converter before an order begins
+MIN_REQUESTS_PER_CONVERTER = 3  # sent to each faulty converter before an order of faults is applied
 MIN_REQUESTS_PER_ORDER, MIN_SERVED_PER_ORDER = 10, 5  # below these numbers the check would not be meaningful
 
 # Faults of tests/seeded_sidecar_faults.py, each with an order in which it leaves a request without an answer
--- a/tests/test_service_after_lists.py
+++ b/tests/test_service_after_lists.py
@@ -78,7 +78,8 @@
 class Observation:
     """The requests of one run; times are in seconds on the event loop's clock.
 
-    The run ends at `ended_at`; outages are only looked for from the replacement of the converters on.
+    Only outages between `replacement_started_at`, when the replacement of the converters starts, and `ended_at`, when
+    the run ends, are counted.
     """
 
     requests: list[ClientRequest]
