--- a/ryepier/slices/slice_source.py
+++ b/ryepier/slices/slice_source.py
@@ -38,7 +38,7 @@
     watch_s: int = 60  # duration of a watch
     hold_us: int = 30_000_000  # time for which the last list is kept when all endpoints vanish at once
     cache_file: Path | None = None  # where the endpoint list is cached; None disables the cache
-    is_pushed: bool = True  # if false, the decision module polls: each poll gets the list, and failed calls are published
+    is_pushed: bool = True  # false: the decision module polls, each poll gets the list, and failures are published
     seed: int = 0
 
 
