--- a/ryepier/check/line_coverage.py
+++ b/ryepier/check/line_coverage.py
@@ -47,8 +47,8 @@
     code: CodeType
 
 
-class UnreachedFunction(NamedTuple):
-    """A function that was not executed completely."""
+class UncoveredLines(NamedTuple):
+    """The lines of a method that were not executed; the method may have been executed in part."""
 
     name: str  # module name, class name and method name
     lines: list[int]  # line numbers that were not executed
@@ -97,12 +97,12 @@
         sys.settrace(original)
 
 
-def unreached_functions(executed: Lines) -> list[UnreachedFunction]:
-    """Return the methods in `MODULES` that were not executed completely, with the missing lines."""
-    functions = []
+def uncovered_lines(executed: Lines) -> list[UncoveredLines]:
+    """Return the uncovered lines of each method in `MODULES` that was not executed completely."""
+    uncovered = []
     for module in MODULES:
         for method in methods(module):
             missing = sorted(code_lines(method.code) - executed[str(module.__file__)])
             if missing:
-                functions.append(UnreachedFunction(f"{module.__name__}: {method.name}", missing))
-    return functions
+                uncovered.append(UncoveredLines(f"{module.__name__}: {method.name}", missing))
+    return uncovered
