--- a/ryepier/balancer/balancer.py
+++ b/ryepier/balancer/balancer.py
@@ -244,8 +244,8 @@
         pool = self.membership.pool_of(upstream)
         slow_latency_us = self.estimates.slow_latency_us[attempt.class_index]
         needed_until_us = self.last_shortage_at_us + tuning.SHORTAGE_DURATION_FACTOR * slow_latency_us
-        slots_needed = attempt.sent_at_us <= needed_until_us
-        if self.feedback.observe(attempt, elapsed_us, slots_needed, self.now_us):
+        in_shortage = attempt.sent_at_us <= needed_until_us
+        if self.feedback.observe(attempt, elapsed_us, in_shortage, self.now_us):
             # The upstream may rejoin the subset when its limit has grown again.
             if upstream.concurrency.limit < tuning.MIN_MEMBER_CONCURRENCY_LIMIT:
                 self.close_idle(pool.subset.leave(upstream))
--- a/ryepier/balancer/concurrency.py
+++ b/ryepier/balancer/concurrency.py
@@ -11,11 +11,11 @@
         self.limit = 1.0
         self.growing_fast = False  # True for upstreams of a cached list, until a slow answer or fault
 
-    def update(self, load: float, faulty: bool, slots_needed: bool) -> None:
+    def update(self, load: float, faulty: bool, in_shortage: bool) -> None:
         """Adjust the limit after an attempt.
 
         `load` is the latency of the attempt relative to the slow latency. The limit grows beyond 1 only if
-        `slots_needed`, that is, if requests recently found no free slot. Otherwise a higher limit would let
+        `in_shortage`, that is, if requests recently found no free slot. Otherwise a higher limit would let
         the next burst overload the upstream.
         """
         # Each answer changes the limit only a little, as an expensive request is slow at any load.
@@ -32,6 +32,6 @@
             # Slow answers do not reduce the limit below 1, so they do not eject the upstream. Otherwise all
             # upstreams would stay ejected for a long time after an outage.
             self.limit = max(self.limit * (1.0 + change), min(self.limit, 1.0))
-        elif self.limit < 1.0 or slots_needed:
+        elif self.limit < 1.0 or in_shortage:
             self.limit += min(self.limit, change)
         self.limit = min(max(self.limit, tuning.MIN_CONCURRENCY), float(tuning.MAX_CONCURRENCY))
--- a/ryepier/balancer/feedback.py
+++ b/ryepier/balancer/feedback.py
@@ -22,10 +22,10 @@
         self.outliers = outliers
         self.membership = membership
 
-    def observe(self, attempt: Attempt, elapsed_us: int, slots_needed: bool, now_us: int) -> bool:
+    def observe(self, attempt: Attempt, elapsed_us: int, in_shortage: bool, now_us: int) -> bool:
         """Free the slot of an ended attempt and update the measurements with it.
 
-        `slots_needed` means that the attempt was sent during a shortage of slots. Returns whether the
+        `in_shortage` means that the attempt was sent during a shortage of slots. Returns whether the
         concurrency limit of its upstream was adapted.
         """
         upstream = attempt.upstream
@@ -39,14 +39,14 @@
         is_lost = timed_out and (attempt.presumed_lost or attempt.overtake_count > 0)
         adapted = False
         if not is_lost and not self.outliers.observe_queue_headroom(attempt, elapsed_us):
-            adapted = self._adapt(attempt, elapsed_us, slots_needed, now_us)
+            adapted = self._adapt(attempt, elapsed_us, in_shortage, now_us)
         if is_answered:
             self.outliers.on_answer(attempt, earlier_attempts)
         if is_answered or (timed_out and not is_lost):
             self.estimates.observe_latency(attempt.class_index, elapsed_us)
         return adapted
 
-    def _adapt(self, attempt: Attempt, elapsed_us: int, slots_needed: bool, now_us: int) -> bool:
+    def _adapt(self, attempt: Attempt, elapsed_us: int, in_shortage: bool, now_us: int) -> bool:
         """Adapt the limits to an ended attempt, unless it is a tolerated fault. Returns whether they were
         adapted."""
         upstream = attempt.upstream
@@ -64,7 +64,7 @@
         # its retries would count as a slow answer.
         elif not attempt.follows_timeout and attempt.outcome in LOAD_OUTCOMES:
             pool.admission.observe(load)
-        upstream.concurrency.update(load, is_faulty, slots_needed)
+        upstream.concurrency.update(load, is_faulty, in_shortage)
         if upstream.concurrency.limit < 1.0:
             self.outliers.eject(upstream, attempt.class_index, elapsed_us, now_us)
         return True
--- a/ryepier/experiments/faults/seeded_faults.py
+++ b/ryepier/experiments/faults/seeded_faults.py
@@ -79,10 +79,10 @@
     original_adapt = AttemptFeedback._adapt
 
     def adapt_unless_timed_out(
-        self: AttemptFeedback, attempt: SentAttempt, elapsed_us: int, slots_needed: bool, now_us: int
+        self: AttemptFeedback, attempt: SentAttempt, elapsed_us: int, in_shortage: bool, now_us: int
     ) -> bool:
         timed_out = attempt.outcome is api.Outcome.TIMEOUT
-        return not timed_out and original_adapt(self, attempt, elapsed_us, slots_needed, now_us)
+        return not timed_out and original_adapt(self, attempt, elapsed_us, in_shortage, now_us)
 
     def ignore_overdue(self: OutlierDetector, attempt: SentAttempt, now_us: int) -> None:
         attempt.overdue = attempt.presumed_lost = True
--- a/ryepier/maintenance/agreement_validation.py
+++ b/ryepier/maintenance/agreement_validation.py
@@ -33,15 +33,15 @@
 class AgreementValidator:
     """Checks the tables of an agreement and collects all problems in `problems` instead of raising an error."""
 
-    def __init__(self, tables: AgreementTables, lines: KeyLines) -> None:
-        """Start without problems; nothing is checked yet. `lines` maps the keys of `tables` to their line numbers."""
+    def __init__(self, tables: AgreementTables, key_lines: KeyLines) -> None:
+        """Start without problems; nothing is checked yet. `key_lines` maps keys of `tables` to line numbers."""
         self.tables = tables
-        self.lines = lines
+        self.key_lines = key_lines
         self.problems: list[Problem] = []
 
     def _add_problem(self, path: KeyPath, text: str) -> None:
         """Record a problem with the value at `path`, which is reported with the line of its key."""
-        self.problems.append(self.lines.problem_at(path, text))
+        self.problems.append(self.key_lines.problem_at(path, text))
 
     def check_names(self) -> None:
         """Check that all names are unique and that all references name something that is defined."""
--- a/ryepier/maintenance/ledger.py
+++ b/ryepier/maintenance/ledger.py
@@ -133,9 +133,9 @@
         """Return the capacity currently charged against a limit."""
         return self.view.charge(limit, self.view.leased_converters())
 
-    def is_below_agreement(self, service: str) -> bool:
+    def is_below_agreed_capacity(self, service: str) -> bool:
         """Return whether, as far as this region knows, less than the agreed capacity is available."""
-        return self._context.is_below_agreement(service)
+        return self._context.is_below_agreed_capacity(service)
 
     def open_leases(self) -> list[Lease]:
         """Return all leases with a converter still out of service, oldest first. The caller must not modify them."""
--- a/ryepier/maintenance/ledger_context.py
+++ b/ryepier/maintenance/ledger_context.py
@@ -25,7 +25,7 @@
         """Return the open leases of a request, oldest first."""
         return [lease for lease in self.state.leases.values() if lease.request == request]
 
-    def is_below_agreement(self, service: str) -> bool:
+    def is_below_agreed_capacity(self, service: str) -> bool:
         """Return whether, as far as this region knows, less than the agreed capacity is available."""
         return self.view.describe_first_exceeded_limit(service, self.view.leased_converters()) is not None
 
@@ -56,7 +56,7 @@
         revoked_names = []
         for service in self.agreement.services:
             granted_leases = self._granted_leases(service)
-            if granted_leases and self.is_below_agreement(service):
+            if granted_leases and self.is_below_agreed_capacity(service):
                 for lease in granted_leases:
                     self.revoke(lease)
                     revoked_names.append(lease.name)
--- a/ryepier/plan/forwarder.py
+++ b/ryepier/plan/forwarder.py
@@ -134,7 +134,7 @@
         self.machine = machine
         self.incarnation = machine.unix_us()
         self.reporter = Reporter(sidecar.unanswered_after_us, sidecar.tenant_count)
-        self.follower = PlanFollower(settings.name, settings.rules)
+        self.plan_follower = PlanFollower(settings.name, settings.rules)
         self.connections: dict[PlannerConnection, None] = {}  # a dict keeps the order of insertion, unlike a set
         self.tasks: list[asyncio.Task[None]] = []
         self.last_published = PlanUpdated()
@@ -238,7 +238,7 @@
         connections = list(self.connections)
         if not connections:
             return
-        now_us, follower = self.machine.clock_us(), self.follower
+        now_us, follower = self.machine.clock_us(), self.plan_follower
         listed_count = len(self.sidecar.upstream_ids())
         needs_complete_report = any(connection.needs_complete_report for connection in connections)
         report = self.reporter.report(
@@ -252,7 +252,7 @@
 
     def on_plan(self, plan: Plan) -> None:
         """Check a plan against the acceptance rules, and publish its advice if it passes."""
-        rejection = self.follower.accept_plan(self.machine.clock_us(), plan, set(self.sidecar.upstream_ids()))
+        rejection = self.plan_follower.accept_plan(self.machine.clock_us(), plan, set(self.sidecar.upstream_ids()))
         if rejection and rejection != self.last_rejection:
             fields = term_fields(plan.term)
             log.warning(
@@ -276,9 +276,9 @@
         """Pass the current advice to the decision module if it has changed."""
         now_us = self.machine.clock_us()
         event = PlanUpdated(
-            self.follower.advice(now_us, dict(self.sidecar.upstream_ids())),
-            self.follower.tenant_shares_within_quota(now_us),
-            self.follower.class_admission(now_us),
+            self.plan_follower.advice(now_us, dict(self.sidecar.upstream_ids())),
+            self.plan_follower.tenant_shares_within_quota(now_us),
+            self.plan_follower.class_admission(now_us),
         )
         if event != self.last_published:
             self.last_published = event
--- a/ryepier/sidecar/client_connection.py
+++ b/ryepier/sidecar/client_connection.py
@@ -29,7 +29,7 @@
 IDLE_TIMEOUT_S = 60.0
 LINGER_TIMEOUT_S = 1.0  # time for the client to read the last response and close the connection
 FLUSH_TIMEOUT_S = 5.0  # added to a state's timeout while part of a response is in the write buffer
-SUPPORTED_VERSIONS = ("1.0", "1.1")
+SUPPORTED_HTTP_VERSIONS = ("1.0", "1.1")
 REASON_PHRASES = {status.value: status.phrase.encode() for status in http.HTTPStatus}
 PIPELINING_REJECTION = b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
@@ -252,7 +252,7 @@
         """Hand the complete request to the dispatcher. Raises RequestError if it is not acceptable."""
         assert self.transport is not None and self.parser is not None
         reader, method = self.reader, self.parser.get_method()
-        if self.parser.get_http_version() not in SUPPORTED_VERSIONS:
+        if self.parser.get_http_version() not in SUPPORTED_HTTP_VERSIONS:
             raise RequestError(400, "not HTTP/1.1")
         if not self.parser.should_keep_alive():
             self.closes_after_response = True
--- a/ryepier/slices/endpoint_listing.py
+++ b/ryepier/slices/endpoint_listing.py
@@ -61,7 +61,7 @@
     """The endpoints and the states in which they were last published."""
 
     def __init__(self, rules: ListingRules) -> None:
-        """Start without endpoints; those added before `complete_list` count as started long ago."""
+        """Start without endpoints; those added before `take_complete_list` count as started long ago."""
         self.rules = rules
         self.endpoints: dict[str, _ListedEndpoint] = {}
         self.removed_endpoints: OrderedDict[str, _ListedEndpoint] = OrderedDict()
@@ -79,7 +79,7 @@
                 entries.append(entry)
         return entries + self._publish_settled(now_us)
 
-    def complete_list(self) -> list[ListedEntry]:
+    def take_complete_list(self) -> list[ListedEntry]:
         """Return all entries. From now on, new endpoints count as started when they are added."""
         self.has_complete_list = True
         return [self._make_entry(listed_endpoint) for listed_endpoint in self.endpoints.values()]
--- a/ryepier/slices/slice_source.py
+++ b/ryepier/slices/slice_source.py
@@ -140,7 +140,7 @@
         time, so there is nothing to start or stop."""
         if active and not self.settings.is_pushed:
             if self.has_complete_list:
-                self.publish(ListKind.FULL, self.listing.complete_list())
+                self.publish(ListKind.FULL, self.listing.take_complete_list())
             else:
                 self.publish(ListKind.FAILED, [])
 
@@ -186,7 +186,7 @@
         if is_first:
             self.publish(
                 ListKind.FULL,
-                [entry for entry in self.listing.complete_list() if entry[0].state is not UpstreamState.REMOVED],
+                [entry for entry in self.listing.take_complete_list() if entry[0].state is not UpstreamState.REMOVED],
             )
         elif entries:
             self.publish(ListKind.DELTA, entries)
--- a/tests/acceptance.py
+++ b/tests/acceptance.py
@@ -57,7 +57,7 @@
 
 
 @dataclass
-class ClientRequest:
+class RequestRecord:
     """A client's request and its answer; times are in seconds on the event loop's clock."""
 
     sidecar: str
@@ -68,7 +68,7 @@
     status: int = 0
 
 
-def unanswered_requests(requests: Iterable[ClientRequest]) -> list[ClientRequest]:
+def unanswered_requests(requests: Iterable[RequestRecord]) -> list[RequestRecord]:
     """Return the requests without a final answer by ANSWER_TOLERANCE_S after their deadline."""
     return [
         record
@@ -87,7 +87,7 @@
     request_count: int
 
 
-def find_outages(requests: Sequence[ClientRequest], start_at: float, end_at: float) -> list[Outage]:
+def find_outages(requests: Sequence[RequestRecord], start_at: float, end_at: float) -> list[Outage]:
     """Return the outages of all sidecars between `start_at` and `end_at`.
 
     In an outage, which lasts at least MIN_OUTAGE_S, a sidecar gets at least MIN_OUTAGE_REQUESTS and serves none of
@@ -251,7 +251,7 @@
 class Exchange:
     """A request on a separate connection, with the pieces of it that are not sent yet."""
 
-    record: ClientRequest
+    record: RequestRecord
     unsent: list[bytes]
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -278,7 +278,7 @@
     """A client of several sidecars that records its requests and their answers."""
 
     def __init__(self) -> None:
-        self.requests: list[ClientRequest] = []
+        self.requests: list[RequestRecord] = []
         self.answer_tasks: list[asyncio.Task[None]] = []
 
     async def send_first_piece(
@@ -290,7 +290,7 @@
         offsets = [0, *split_offsets, len(data)]
         pieces = [data[start:end] for start, end in itertools.pairwise(offsets)]
         reader, writer = await asyncio.open_connection("127.0.0.1", sidecar.port)
-        exchange = Exchange(ClientRequest(sidecar.name, request_id), pieces, reader, writer)
+        exchange = Exchange(RequestRecord(sidecar.name, request_id), pieces, reader, writer)
         exchange.send_next()
         self.requests.append(exchange.record)
         return exchange
--- a/tests/limited_sidecar.py
+++ b/tests/limited_sidecar.py
@@ -49,7 +49,7 @@
     port: int
     max_descriptors: int = 0
 
-    async def watch_descriptors(self) -> None:
+    async def sample_descriptor_count(self) -> None:
         """Update `max_descriptors` until cancelled."""
         while True:
             self.max_descriptors = max(self.max_descriptors, len(os.listdir(f"/proc/{self.pid}/fd")))
@@ -139,7 +139,7 @@
     port, log_path = free_port(), directory / "log"
     process = await start_process(write_sidecar_configuration(directory, port, upstream, discovery_port), log_path)
     sidecar = LimitedSidecar(process.pid, port)
-    watch_task = asyncio.create_task(sidecar.watch_descriptors())
+    watch_task = asyncio.create_task(sidecar.sample_descriptor_count())
     try:
         await sidecar.wait_until_listening()
         yield sidecar
--- a/tests/maintenance_cluster.py
+++ b/tests/maintenance_cluster.py
@@ -200,7 +200,7 @@
             )
             self.agents.append(new_agent)
 
-    def request_and_grant(self, region: str, request_name: str, *converters: str) -> Agent | None:
+    def request_grant_and_start_drain(self, region: str, request_name: str, *converters: str) -> Agent | None:
         """Submit a request, request a lease on all its converters, and start the drain if the lease is granted."""
         self.submit(region, request_name, converters, len(converters))
         if not isinstance(self.grant(region, f"{request_name}/1", request_name, converters), Granted):
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -19,10 +19,10 @@
     DEADLINE_S,
     SERVED_STATUS,
     Agent,
-    ClientRequest,
     Converter,
     Exchange,
     RecordingClient,
+    RequestRecord,
     SidecarProcess,
     unanswered_requests,
 )
@@ -200,7 +200,7 @@
             await self.send_burst(sidecar)
 
 
-async def run_orders(directory: Path, orders: Sequence[Sequence[str]], seeded_fault: str = "") -> list[ClientRequest]:
+async def run_orders(directory: Path, orders: Sequence[Sequence[str]], seeded_fault: str = "") -> list[RequestRecord]:
     """Run the orders one after another with one sidecar and return all requests. Only the last may stop the sidecar."""
     scenario = Scenario()
     await scenario.start()
@@ -238,13 +238,13 @@
     return [order for order in itertools.permutations(FAULTS) if order[0] == first_fault]
 
 
-async def run_all(directory: Path) -> dict[str, list[ClientRequest]]:
+async def run_all(directory: Path) -> dict[str, list[RequestRecord]]:
     """Run all orders, with a few sidecars at a time to limit the load, and return the requests of each run."""
     semaphore = asyncio.Semaphore(CONCURRENT_SIDECARS)
 
     async def run(
         name: str, orders: Sequence[Sequence[str]], seeded_fault: str = ""
-    ) -> tuple[str, list[ClientRequest]]:
+    ) -> tuple[str, list[RequestRecord]]:
         async with semaphore:
             return name, await run_orders(directory / name, orders, seeded_fault)
 
@@ -261,12 +261,12 @@
 
 
 @pytest.fixture(scope="module")
-def requests_by_run(tmp_path_factory: pytest.TempPathFactory) -> dict[str, list[ClientRequest]]:
+def requests_by_run(tmp_path_factory: pytest.TempPathFactory) -> dict[str, list[RequestRecord]]:
     """Return the requests of all runs, by the name of the run."""
     return asyncio.run(run_all(tmp_path_factory.mktemp("unanswered")))
 
 
-def check_request_counts(requests: Sequence[ClientRequest], order_count: int) -> None:
+def check_request_counts(requests: Sequence[RequestRecord], order_count: int) -> None:
     """Check that enough requests were sent and served for the other checks to be meaningful."""
     assert len(requests) >= MIN_REQUESTS_PER_ORDER * order_count
     assert sum(record.status == SERVED_STATUS for record in requests) >= MIN_SERVED_PER_ORDER * order_count
@@ -274,7 +274,7 @@
 
 @pytest.mark.parametrize("first_fault", FAULTS)
 def test_every_request_is_answered_in_time_in_each_order_of_faults(
-    first_fault: str, requests_by_run: dict[str, list[ClientRequest]]
+    first_fault: str, requests_by_run: dict[str, list[RequestRecord]]
 ) -> None:
     check_request_counts(requests_by_run[first_fault], len(orders_from(first_fault)))
     assert unanswered_requests(requests_by_run[first_fault]) == []
@@ -282,7 +282,7 @@
 
 @pytest.mark.parametrize("order", stop_orders(), ids="-".join)
 def test_every_request_is_answered_in_time_when_shutdown_begins_between_its_pieces(
-    order: tuple[str, ...], requests_by_run: dict[str, list[ClientRequest]]
+    order: tuple[str, ...], requests_by_run: dict[str, list[RequestRecord]]
 ) -> None:
     requests = requests_by_run["-".join(order)]
     check_request_counts(requests, 1)
@@ -293,7 +293,7 @@
     ("seeded_fault", "order"), SEEDED_FAULTS, ids=[seeded_fault for seeded_fault, _ in SEEDED_FAULTS]
 )
 def test_check_finds_requests_that_a_seeded_fault_leaves_unanswered(
-    seeded_fault: str, order: tuple[str, ...], requests_by_run: dict[str, list[ClientRequest]]
+    seeded_fault: str, order: tuple[str, ...], requests_by_run: dict[str, list[RequestRecord]]
 ) -> None:
     check_request_counts(requests_by_run[seeded_fault], repeat_count(order))  # the sidecar still serves requests
     assert unanswered_requests(requests_by_run[seeded_fault])
@@ -311,5 +311,5 @@
 def test_request_counts_as_unanswered_if_its_answer_is_late_or_missing(
     ended_at: float | None, is_unanswered: bool
 ) -> None:
-    request = ClientRequest("sidecar", "1", ended_at=ended_at)
+    request = RequestRecord("sidecar", "1", ended_at=ended_at)
     assert unanswered_requests([request]) == ([request] if is_unanswered else [])
--- a/tests/test_maintenance_ledger.py
+++ b/tests/test_maintenance_ledger.py
@@ -117,7 +117,7 @@
     region.request_and_grant("r2", "n01")
     region.apply(SubmitRequest(request("r3", converters=("n02",))))
     assert region.observe("n10", ready=False) == Observed((), ("r2/1",))
-    assert region.ledger.is_below_agreement("convert")
+    assert region.ledger.is_below_agreed_capacity("convert")
     assert region.ledger.capacity("convert").lost == 1000
     region.observe("n10", warmth=500)  # ready again, with half of the warm-up done
     assert region.ledger.capacity("convert").lost == 500
--- a/tests/test_maintenance_regions.py
+++ b/tests/test_maintenance_regions.py
@@ -271,21 +271,21 @@
 
 
 def grant_more_before_warm_up(cluster: Cluster) -> None:
-    agent = cluster.request_and_grant("north", "r1", "n00", "n01")
+    agent = cluster.request_grant_and_start_drain("north", "r1", "n00", "n01")
     assert agent
     cluster.restart_converters(agent)
     cluster.release(agent)
     cluster.observe("north")
     cluster.record_observation(0)
-    cluster.request_and_grant("north", "r2", "n02", "n10")
-    cluster.request_and_grant("south", "r3", "s00", "s01")
+    cluster.request_grant_and_start_drain("north", "r2", "n02", "n10")
+    cluster.request_grant_and_start_drain("south", "r3", "s00", "s01")
 
 
 def grant_more_after_lease_duration(cluster: Cluster) -> None:
-    cluster.request_and_grant("north", "r1", "n00", "n01")
+    cluster.request_grant_and_start_drain("north", "r1", "n00", "n01")
     cluster.apply("north", AdvanceTime(20_000))
-    cluster.request_and_grant("north", "r2", "n02", "n10")
-    cluster.request_and_grant("south", "r3", "s00", "s01")
+    cluster.request_grant_and_start_drain("north", "r2", "n02", "n10")
+    cluster.request_grant_and_start_drain("south", "r3", "s00", "s01")
 
 
 def credit_transfer_twice_and_use_it(cluster: Cluster) -> None:
@@ -296,23 +296,23 @@
     )
     cluster.deliver(credit_position, keep_copy=True)
     cluster.deliver(credit_position)
-    cluster.request_and_grant("north", "r1", "n00", "n01", "n02")
-    cluster.request_and_grant("north", "r2", "n10")
-    cluster.request_and_grant("south", "r3", "s00")
+    cluster.request_grant_and_start_drain("north", "r1", "n00", "n01", "n02")
+    cluster.request_grant_and_start_drain("north", "r2", "n10")
+    cluster.request_grant_and_start_drain("south", "r3", "s00")
 
 
 def grant_more_than_own_allowance(cluster: Cluster) -> None:
-    cluster.request_and_grant("north", "r1", "n00", "n01", "n02")
-    cluster.request_and_grant("north", "r2", "n10", "n11")
-    cluster.request_and_grant("south", "r3", "s00", "s01")
+    cluster.request_grant_and_start_drain("north", "r1", "n00", "n01", "n02")
+    cluster.request_grant_and_start_drain("north", "r2", "n10", "n11")
+    cluster.request_grant_and_start_drain("south", "r3", "s00", "s01")
 
 
 def restart_region_between_grants(cluster: Cluster) -> None:
-    cluster.request_and_grant("north", "r1", "n00", "n01")
+    cluster.request_grant_and_start_drain("north", "r1", "n00", "n01")
     cluster.checkpoint("north")
     cluster.restart("north")
-    cluster.request_and_grant("north", "r2", "n02", "n10")
-    cluster.request_and_grant("south", "r3", "s00", "s01")
+    cluster.request_grant_and_start_drain("north", "r2", "n02", "n10")
+    cluster.request_grant_and_start_drain("south", "r3", "s00", "s01")
 
 
 def grant_after_zone_loss(cluster: Cluster) -> None:
@@ -320,26 +320,26 @@
         cluster.lose_converter(name)
     cluster.observe("north")
     cluster.record_observation(0)
-    cluster.request_and_grant("north", "r1", "n00", "n01")
+    cluster.request_grant_and_start_drain("north", "r1", "n00", "n01")
 
 
 def record_observation_from_before_the_grant(cluster: Cluster) -> None:
     cluster.observe("north")
-    agent = cluster.request_and_grant("north", "r1", "n00", "n01")
+    agent = cluster.request_grant_and_start_drain("north", "r1", "n00", "n01")
     assert agent
     cluster.restart_converters(agent)
     cluster.release(agent)
     cluster.record_observation(0)
-    cluster.request_and_grant("north", "r2", "n02", "n10")
-    cluster.request_and_grant("south", "r3", "s00", "s01")
+    cluster.request_grant_and_start_drain("north", "r2", "n02", "n10")
+    cluster.request_grant_and_start_drain("south", "r3", "s00", "s01")
 
 
 def transfer_allowance_in_use(cluster: Cluster) -> None:
-    cluster.request_and_grant("north", "r1", "n00", "n01")
+    cluster.request_grant_and_start_drain("north", "r1", "n00", "n01")
     cluster.debit("north", "south", 1000)
     cluster.send_transfers("north")
     cluster.deliver_all()
-    cluster.request_and_grant("south", "r2", "s00", "s01", "s02")
+    cluster.request_grant_and_start_drain("south", "r2", "s00", "s01", "s02")
 
 
 SCRIPTED_RUNS: dict[str, Callable[[Cluster], None]] = {
@@ -364,7 +364,7 @@
     assert faulty_cluster.breaches, f"no breach found with seeded fault {name}"
 
 
-def test_judge_finds_breaches_and_grants_during_shortage() -> None:
+def test_breaches_are_found_with_and_without_known_losses() -> None:
     agreement = small_agreement()
     lease_changes = [CapacityChange(i, name, 1000, planned=True) for i, name in enumerate(("n00", "n01", "s00", "s01"))]
     assert list(judge.find_breaches(agreement, lease_changes)) == []
--- a/tests/test_maintenance_scheduler.py
+++ b/tests/test_maintenance_scheduler.py
@@ -259,7 +259,7 @@
 
 
 def test_generated_schedules_are_close_to_the_best_plan() -> None:
-    placed_work = best_work = proven_count = 0
+    placed_work = work_upper_bound = proven_count = 0
     worst_share = 1.0
     for seed in range(25):
         problem = random_problem(seed, max_jobs=9, priority_count=1)
@@ -268,13 +268,13 @@
         proven_count += best.bound == best.value
         work = sum(job.work() for job in problem.jobs if job.request.name not in unplaced_names)
         assert work <= best.bound, f"seed {seed}: more work than the upper bound of the best plan"
-        placed_work, best_work, worst_share = (
+        placed_work, work_upper_bound, worst_share = (
             placed_work + work,
-            best_work + best.bound,
+            work_upper_bound + best.bound,
             min(worst_share, work / best.bound),
         )
     print(
-        f"work: {placed_work / best_work:.3f} of the best plans' total, {worst_share:.3f} at worst; "
+        f"work: {placed_work / work_upper_bound:.3f} of the best plans' total, {worst_share:.3f} at worst; "
         f"{proven_count} of 25 best plans proven optimal"
     )
-    assert proven_count >= 20 and placed_work >= 0.9 * best_work and worst_share >= 0.75
+    assert proven_count >= 20 and placed_work >= 0.9 * work_upper_bound and worst_share >= 0.75
--- a/tests/test_passed_deadline.py
+++ b/tests/test_passed_deadline.py
@@ -36,14 +36,14 @@
     def __init__(self) -> None:
         self.upstream = Upstream(self.serve)
         self.sent_at = 0.0
-        self.passed_deadlines_ms: list[int] = []
+        self.forwarded_deadlines_ms: list[int] = []
         self.remaining_times_ms: list[float] = []
 
     async def serve(
         self, upstream: Upstream, request_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         head = upstream.requests[request_index][0].lower()
-        self.passed_deadlines_ms.append(int(head.partition(b"x-deadline-ms:")[2].split(b"\r\n")[0]))
+        self.forwarded_deadlines_ms.append(int(head.partition(b"x-deadline-ms:")[2].split(b"\r\n")[0]))
         self.remaining_times_ms.append(DEADLINE_MS - 1_000 * (time.monotonic() - self.sent_at))
         writer.write(OK)
 
@@ -64,7 +64,7 @@
             await asyncio.sleep(WRITE_DELAY_S)
             delayed_connections.release.set()
             assert await status_task == 200
-        assert recorder.passed_deadlines_ms[0] <= recorder.remaining_times_ms[0] + DEADLINE_TOLERANCE_MS
+        assert recorder.forwarded_deadlines_ms[0] <= recorder.remaining_times_ms[0] + DEADLINE_TOLERANCE_MS
 
     run_async(test)
 
@@ -82,7 +82,7 @@
         recorder = DeadlineRecorder()
         async with sidecar(recorder.upstream) as running_sidecar:
             assert await recorder.fetch(running_sidecar) == 200
-        assert recorder.passed_deadlines_ms[0] <= recorder.remaining_times_ms[0] + DEADLINE_TOLERANCE_MS
+        assert recorder.forwarded_deadlines_ms[0] <= recorder.remaining_times_ms[0] + DEADLINE_TOLERANCE_MS
 
     run_async(test)
 
@@ -105,7 +105,7 @@
         async with sidecar(recorder.upstream) as running_sidecar:
             block_loop_after_dial(recorder.upstream, WRITE_DELAY_S, monkeypatch)
             assert await recorder.fetch(running_sidecar) == 200
-        assert recorder.passed_deadlines_ms[0] <= recorder.remaining_times_ms[0] + DEADLINE_TOLERANCE_MS
+        assert recorder.forwarded_deadlines_ms[0] <= recorder.remaining_times_ms[0] + DEADLINE_TOLERANCE_MS
 
     run_async(test)
 
@@ -156,6 +156,6 @@
             assert status_of(await response) == 200
             await running_sidecar.task
         # the process ends 3.6 s after SIGTERM
-        assert recorder.passed_deadlines_ms[0] <= 3_600 - 1_000 * WRITE_DELAY_S + DEADLINE_TOLERANCE_MS
+        assert recorder.forwarded_deadlines_ms[0] <= 3_600 - 1_000 * WRITE_DELAY_S + DEADLINE_TOLERANCE_MS
 
     run_async(test)
--- a/tests/test_planners.py
+++ b/tests/test_planners.py
@@ -115,13 +115,15 @@
             async with run_planner(ports[0], "a", {"b": ports[1]}), run_forwarder_testbeds(*ports) as testbeds:
                 # three of six are enough, as the other forwarders may be sending trial requests
                 await wait_until(lambda: sum(testbed.ejected_upstreams() == {3} for testbed in testbeds) >= 3)
-                assert all(testbed.forwarder.follower.term.planner == "a" for testbed in testbeds)
+                assert all(testbed.forwarder.plan_follower.term.planner == "a" for testbed in testbeds)
                 assert "c3: ejected" in await run_command("plan", "explain", "c3", f"127.0.0.1:{ports[0]}")
                 plan = json.loads(await run_command("plan", "show", f"127.0.0.1:{ports[0]}", "--json"))
                 assert list(plan["entries"]) == ["c3"] and plan["term"][1] == "a"
                 assert not standby.leadership.is_leader
             async with run_forwarder_testbeds(*ports) as testbeds:
-                await wait_until(lambda: all(testbed.forwarder.follower.term.planner == "b" for testbed in testbeds))
+                await wait_until(
+                    lambda: all(testbed.forwarder.plan_follower.term.planner == "b" for testbed in testbeds)
+                )
                 assert standby.leadership.highest_term.epoch >= 2
 
     run_bounded(test)
--- a/tests/test_service_after_lists.py
+++ b/tests/test_service_after_lists.py
@@ -24,10 +24,10 @@
     PUSHED_SETTINGS,
     SERVED_STATUS,
     Agent,
-    ClientRequest,
     Converter,
     Outage,
     RecordingClient,
+    RequestRecord,
     SidecarProcess,
     find_outages,
 )
@@ -82,7 +82,7 @@
     the run ends, are counted.
     """
 
-    requests: list[ClientRequest]
+    requests: list[RequestRecord]
     replacement_started_at: float
     ended_at: float
 
@@ -290,10 +290,10 @@
     assert observation.outages(seeded_fault)
 
 
-def evenly_spaced_requests(sidecar: str, status: int, request_count: int, duration_s: float) -> list[ClientRequest]:
+def evenly_spaced_requests(sidecar: str, status: int, request_count: int, duration_s: float) -> list[RequestRecord]:
     """Return requests spaced evenly between 0 and `duration_s`, with none at either end."""
     return [
-        ClientRequest(sidecar, "", sent_at=duration_s * (index + 1) / (request_count + 1), status=status)
+        RequestRecord(sidecar, "", sent_at=duration_s * (index + 1) / (request_count + 1), status=status)
         for index in range(request_count)
     ]
 
--- a/tests/test_slice_listing.py
+++ b/tests/test_slice_listing.py
@@ -60,7 +60,7 @@
 def test_endpoint_counts_as_started_if_new_or_unready_for_long() -> None:
     listing = make_listing()
     update(listing, 0, old=make_endpoint("old"))
-    listing.complete_list()
+    listing.take_complete_list()
     [(upstream, _)] = listing.update(5, {"new": make_endpoint("new")})
     assert upstream.started_at_us == 5
     listing.update(10, {"old": make_endpoint("old", ready=False)})
@@ -72,7 +72,7 @@
 def test_move_between_slices_is_no_restart_but_a_reused_address_is() -> None:
     listing = make_listing()
     listing.update(0, {"p1": make_endpoint(), "10.0.0.9:80": make_endpoint("10.0.0.9:80")})
-    listing.complete_list()
+    listing.take_complete_list()
     assert update(listing, 1, **{"p1": None, "10.0.0.9:80": None}) == {1: REMOVED, 2: REMOVED}
     started_us_by_id = {
         upstream.id: upstream.started_at_us
