--- a/ryepier/balancer/selection.py
+++ b/ryepier/balancer/selection.py
@@ -31,7 +31,7 @@
         estimates: RequestEstimates,
         random: Random,
     ) -> None:
-        """Use the components and the random generator of one balancer."""
+        """Create the selector of one balancer; all arguments must belong to that balancer."""
         self.membership = membership
         self.retries = retries
         self.outliers = outliers
--- a/ryepier/balancer/tuning.py
+++ b/ryepier/balancer/tuning.py
@@ -20,7 +20,8 @@
 POOL_FAULT_WINDOW = 64  # attempts in the moving average of a pool's share of faults
 POOL_FAULT_FACTOR = 2  # multiple of the pool's share of faults that is tolerated in addition
 MAX_POOL_FAULT_ALLOWANCE = 1 / 3  # limit of the additional share, so that four faults in a row always count
-# Answers to later attempts after which an attempt is presumed lost, not queued.
+# An unanswered attempt counts as lost, not queued, once this many later attempts at the same upstream were
+# answered.
 LOST_ATTEMPT_OVERTAKE_THRESHOLD = 4
 UNANSWERED_WINDOW = 16  # attempts of a class in the moving average of an upstream's unanswered share
 UNANSWERED_TOLERANCE = 0.1  # share of unanswered attempts at which the selection weight is a quarter
@@ -39,7 +40,7 @@
 MIN_MEMBER_CONCURRENCY_LIMIT = 0.5  # concurrency limit below which an upstream leaves the subset
 
 # Slow start
-MIN_OVERCOMMIT = 1 / 1.3  # lowest overcommit, for warming upstreams that are slow
+MIN_OVERCOMMIT = 1 / 1.3  # least traffic of slow warming upstreams, as a multiple of guaranteed capacity
 MAX_OVERCOMMIT_SHARE = 0.5  # highest overcommit as a share of `overload_factor`; the rest is for bursts
 OVERCOMMIT_GAIN = 0.5  # relative change of the overcommit per answer and per unit of load below the target
 MAX_SLOW_START_CREDIT = 0.5  # requests; limits the credit that a warming upstream accumulates
--- a/ryepier/sidecar/client_connection.py
+++ b/ryepier/sidecar/client_connection.py
@@ -120,7 +120,7 @@
         """Return whether so many connections are open that new ones should close after their first response."""
 
     def change_state(self, client: ClientConnection, state: ClientState) -> None:
-        """Move a connection to another state."""
+        """Set a connection's state and restart its state timeout. Does nothing if the connection was removed."""
 
     def remove(self, client: ClientConnection) -> None:
         """Stop tracking a connection; its later state changes are ignored."""
--- a/ryepier/sidecar/discovery.py
+++ b/ryepier/sidecar/discovery.py
@@ -31,7 +31,7 @@
 
 
 class DiscoveryClient:
-    """Keeps a watch of the endpoint list.
+    """Watches the endpoint list that discovery serves, and passes each update to a listener.
 
     If the list is polled, the decision module decides when to open a watch, and is notified when the watch fails. If
     changes are pushed, the decision module never polls, and this client always keeps a watch open.
--- a/ryepier/slices/api_client.py
+++ b/ryepier/slices/api_client.py
@@ -58,7 +58,11 @@
 def find_access(
     server: str, token_file: str = "", ca_file: str = "", client_cert_file: str = "", client_key_file: str = ""
 ) -> Access:
-    """Return the access described by the settings, or the pod's own access if `server` is empty. Raises AccessError."""
+    """Return the address and credentials for the API server.
+
+    If `server` is empty, the address comes from the pod's environment, and the token and CA files default to those of
+    its service account. Raises AccessError if a setting is missing or invalid.
+    """
     if not server:
         host, port = os.environ.get("KUBERNETES_SERVICE_HOST", ""), os.environ.get("KUBERNETES_SERVICE_PORT", "")
         if not host or not port.isdecimal():
--- a/tests/test_upstream_connections.py
+++ b/tests/test_upstream_connections.py
@@ -170,7 +170,8 @@
         for number in range(80):
             pool.start_attempt(1, ("127.0.0.1", upstream.port), client_request, ATTEMPT_TIMEOUT_US, results.append)
             await wait_until(partial(has_results, number + 1))
-        # if such connections were always reused, every second request would fail
+        # If idle connections were always reused, every second request would fail, as the upstream resets each
+        # connection on its second request.
         assert 0 < [result.outcome for result in results].count(Outcome.RESET) < 30
         upstream.stop()
         pool.sweep_timer.cancel()
