--- a/ryepier/emulator/simulated.py
+++ b/ryepier/emulator/simulated.py
@@ -89,7 +89,9 @@
         records = await self._run(roles, {TargetKind.SIDECAR: sidecars, TargetKind.PLANNER: planners})
         await self._stop(loop, processes)
         incarnations = [
-            incarnation for sidecar in sidecars for incarnation in sidecar.incarnations_since(self.clock.run_start_us)
+            incarnation
+            for sidecar in sidecars
+            for incarnation in sidecar.incarnations_relative_to(self.clock.run_start_us)
         ]
         return join(records, incarnations, self.events)
 
--- a/ryepier/emulator/simulated_processes.py
+++ b/ryepier/emulator/simulated_processes.py
@@ -87,7 +87,7 @@
         else:
             self.loop.set_rate(self.process_name, step.factor if step.action is FaultAction.SET_CLOCK_RATE else 1.0)
 
-    def incarnations_since(self, origin_us: int) -> list[Incarnation]:
+    def incarnations_relative_to(self, origin_us: int) -> list[Incarnation]:
         """Return the records of all processes, with times counted from `origin_us`.
 
         The current time is recorded as the end of a process that is still running.
--- a/ryepier/experiments/faults/sidecar_kill.py
+++ b/ryepier/experiments/faults/sidecar_kill.py
@@ -38,13 +38,13 @@
     def is_at_killed_sidecar_after_recovery(attempt: ClientAttempt) -> bool:
         return attempt.sidecar in killed_sidecars and is_after_recovery(attempt)
 
-    service_at_others = figures.service_level(run.operations, is_at_other_sidecar)
+    service_at_other_sidecars = figures.service_level(run.operations, is_at_other_sidecar)
     service_at_killed = figures.service_level(run.operations, is_at_killed_sidecar_after_recovery)
     return [
         Claim("sidecars killed", len(killed_sidecars), ">=", 1),
         Claim("sidecars started again", len(restarted_incarnations), "==", len(killed_sidecars)),
         Claim("time to come up (s)", longest_start_s, "<=", MAX_START_S),
-        Claim("service of the others' clients", service_at_others, ">=", MIN_SERVICE),
+        Claim("service of the others' clients", service_at_other_sidecars, ">=", MIN_SERVICE),
         Claim("service of its own clients, 2 s after its start", service_at_killed, ">=", MIN_SERVICE),
     ]
 
--- a/ryepier/experiments/graphql/cost.py
+++ b/ryepier/experiments/graphql/cost.py
@@ -57,10 +57,10 @@
 
 def measure(trial: TrialConfig) -> Measurement:
     """Measure all three kinds of requests. A seeded fault applies only to the run with recurring documents."""
-    usual_command = (
+    recurring_documents_command = (
         seeded_faults.command_with_fault(trial.seeded_fault) if trial.seeded_fault else harness.FORWARDER_COMMAND
     )
-    commands = {PLAIN: harness.FORWARDER_COMMAND, USUAL: usual_command, UNIQUE: harness.FORWARDER_COMMAND}
+    commands = {PLAIN: harness.FORWARDER_COMMAND, USUAL: recurring_documents_command, UNIQUE: harness.FORWARDER_COMMAND}
     cpu_us = {
         document_kind: cpu_us_per_request(document_kind, trial.seed, trial.folder / document_kind, command)
         for document_kind, command in commands.items()
--- a/ryepier/experiments/load_spread/steady.py
+++ b/ryepier/experiments/load_spread/steady.py
@@ -60,7 +60,7 @@
         f"{load_name}_late": outcome.late_share,
         f"{load_name}_p99_ms": outcome.p99_ms,
         f"{load_name}_connections_a_sidecar": outcome.mean_open_connections / sidecar_count,
-        f"{load_name}_opened_per_s_a_sidecar": outcome.opened_per_s / sidecar_count,
+        f"{load_name}_opened_per_s_a_sidecar": outcome.opened_connections_per_s / sidecar_count,
     }
 
 
--- a/ryepier/experiments/load_spread/trials.py
+++ b/ryepier/experiments/load_spread/trials.py
@@ -40,7 +40,7 @@
     late_share: float  # share of the requests that were served, but after the latency objective
     p99_ms: float  # 99th percentile of the latency of served requests
     mean_open_connections: float  # mean over time of the open connections of all converters
-    opened_per_s: float  # rate of new connections
+    opened_connections_per_s: float  # rate of new connections
     worst_warm_up_load: float  # highest `worst_warm_up_load` of the restarted converters; above 1, a converter crashes
 
 
@@ -69,7 +69,7 @@
         late_share=sum(latency_us > trial.plan.objective_us for latency_us in latencies_us) / len(requests),
         p99_ms=float(np.percentile(latencies_us, 99)) / US_PER_MS,
         mean_open_connections=sum(counter.mean_open_count(begin_us, end_us) for counter in counters),
-        opened_per_s=sum(counter.opened_count for counter in counters) * SECOND_US / (end_us - begin_us),
+        opened_connections_per_s=sum(counter.opened_count for counter in counters) * SECOND_US / (end_us - begin_us),
         worst_warm_up_load=max(
             (worst_warm_up_load(trial.plan, converter) for converter in restarted_converters), default=0.0
         ),
--- a/ryepier/experiments/maintenance/best_plan.py
+++ b/ryepier/experiments/maintenance/best_plan.py
@@ -61,13 +61,13 @@
     """Add and return the optional intervals of a request. Exclude a request that cannot end by its deadline."""
     name = job.request.name
     desired_ms = problem.desired_start_ms(job)
-    latest_ms = job.request.deadline_ms - job.length_ms
-    if latest_ms < desired_ms:
+    latest_start_ms = job.request.deadline_ms - job.length_ms
+    if latest_start_ms < desired_ms:
         model.add(presence[name] == 0)
         return []
     outages = []
     for converter in job.converters:
-        start = model.new_int_var(desired_ms, latest_ms, converter.name)
+        start = model.new_int_var(desired_ms, latest_start_ms, converter.name)
         interval = model.new_optional_fixed_size_interval_var(start, job.length_ms, presence[name], converter.name)
         outages.append(_Outage(interval, converter, name))
     return outages
--- a/ryepier/experiments/maintenance/overlap.py
+++ b/ryepier/experiments/maintenance/overlap.py
@@ -68,11 +68,11 @@
 
 def _invalid_requests(region: str, converters: Sequence[str]) -> list[PlannedRequest]:
     """Return requests with too little time, with the same converter twice, and with an unknown converter."""
-    latest_ms = DEADLINE_RANGE_MS[1]
+    latest_deadline_ms = DEADLINE_RANGE_MS[1]
     return [
         _invalid_request(region, "no-time", (converters[0],), TOO_SHORT_DEADLINE_MS),
-        _invalid_request(region, "twice", (converters[1], converters[1]), latest_ms),
-        _invalid_request(region, "unknown", (UNKNOWN_CONVERTER,), latest_ms),
+        _invalid_request(region, "twice", (converters[1], converters[1]), latest_deadline_ms),
+        _invalid_request(region, "unknown", (UNKNOWN_CONVERTER,), latest_deadline_ms),
     ]
 
 
--- a/ryepier/experiments/planners/seeded_faults.py
+++ b/ryepier/experiments/planners/seeded_faults.py
@@ -60,7 +60,9 @@
 
     def false_report(self: Reporter, *arguments: Any, **options: Any) -> Report:
         true_report = original_report(self, *arguments, **options)
-        counters = {uid: falsify(uid, true_counters) for uid, true_counters in true_report.counters.items()}
+        counters = {
+            uid: counters_with_false_failures(uid, true_counters) for uid, true_counters in true_report.counters.items()
+        }
         return msgspec.structs.replace(true_report, counters=counters)
 
     Reporter.report = false_report  # type: ignore[method-assign]
@@ -82,7 +84,7 @@
     Forwarder.jitter_s = lambda self, bound_s: bound_s  # type: ignore[method-assign]
 
 
-def falsify(uid: str, counters: ConverterCounters) -> ConverterCounters:
+def counters_with_false_failures(uid: str, counters: ConverterCounters) -> ConverterCounters:
     """Return the counters to report for a converter: one in `FALSELY_REPORTED_INTERVAL` gets false failures."""
     index = int(uid.rpartition("-")[2], 16)
     if index % FALSELY_REPORTED_INTERVAL:
--- a/ryepier/experiments/scale/call.py
+++ b/ryepier/experiments/scale/call.py
@@ -48,7 +48,7 @@
 DESIGN_KNOWN_COUNT = 1600
 DESIGN_RATE_PER_S = 369  # calls of one sidecar at the design size
 ADDED_P99_BUDGET_MS = 0.33  # latency that a sidecar may add to a call, at the 99th percentile
-FULLY_MEASURED_KNOWN_COUNTS = (30, 1600)  # at the small scale, the other counts run only the first phase
+KNOWN_COUNTS_WITH_ALL_PHASES = (30, 1600)  # at the small scale, the other counts run only the first phase
 
 
 class Phase(NamedTuple):
@@ -290,7 +290,7 @@
 
 def phases_of(known_count: int, scale: Scale) -> Sequence[Phase]:
     """Return the phases that run with `known_count` known converters."""
-    if known_count in FULLY_MEASURED_KNOWN_COUNTS or scale is Scale.FULL:
+    if known_count in KNOWN_COUNTS_WITH_ALL_PHASES or scale is Scale.FULL:
         return PHASES[scale]
     return PHASES[scale][:1]
 
--- a/ryepier/experiments/scale/chains.py
+++ b/ryepier/experiments/scale/chains.py
@@ -176,14 +176,14 @@
     """A simulated chain: the sidecars of all hops, the clock, and the counts of the run."""
 
     def __init__(self, chain: Chain) -> None:
-        """Create the clock and the counts. `build` starts the sidecars, which need this object."""
+        """Create the clock and the counts. `start_sidecars` starts the sidecars, which need this object."""
         self.chain = chain
         self.clock = VirtualClock()
         self.random = Random(chain.seed)
         self.outcome = ChainOutcome([0] * chain.depth, [0] * chain.depth)
         self.sidecars: list[list[ChainSidecar]] = []  # by hop and instance
 
-    def build(self) -> None:
+    def start_sidecars(self) -> None:
         """Start the sidecars of all hops."""
         seed_source = Random(self.chain.seed + 1)
         self.sidecars = [
@@ -240,7 +240,7 @@
     world = ChainWorld(chain)
     system.monotonic_ns = lambda: world.clock.now_us * NS_PER_US
     try:
-        world.build()
+        world.start_sidecars()
         world.schedule_calls()
         world.clock.run(world.is_stopped)
     finally:
--- a/ryepier/experiments/storms/real_surge.py
+++ b/ryepier/experiments/storms/real_surge.py
@@ -25,8 +25,8 @@
     is_in_surge = phases.during(fault_of_kind(run.world, FaultKind.SURGE))
     service_in_surge = figures.service_level(run.operations, is_in_surge)
     lost_points_in_surge = 100 * (figures.service_level(run.control.operations, is_in_surge) - service_in_surge)
-    overall_service = figures.service_level(run.operations)
-    lost_points_overall = 100 * (figures.service_level(run.control.operations) - overall_service)
+    overall_service_level = figures.service_level(run.operations)
+    lost_points_overall = 100 * (figures.service_level(run.control.operations) - overall_service_level)
     return [
         Claim("times that a guard took the surge for a storm", measures.count_detections(run), "==", 0),
         Claim("service in the surge lost to the guard (points)", lost_points_in_surge, "<=", MAX_LOST_POINTS),
--- a/ryepier/sidecar/components.py
+++ b/ryepier/sidecar/components.py
@@ -19,7 +19,7 @@
 class EndpointSource(Protocol):
     """Follows the endpoint list and passes each update to `RequestDispatcher.on_endpoints`."""
 
-    def restore_cached(self) -> None:
+    def restore_cached_list(self) -> None:
         """Pass the cached list to the dispatcher, if there is one."""
 
     def start(self) -> None:
--- a/ryepier/sidecar/discovery.py
+++ b/ryepier/sidecar/discovery.py
@@ -61,7 +61,7 @@
         self.consecutive_malformed_watches = 0  # reset by each valid list
         self.timer: asyncio.TimerHandle | None = None
 
-    def restore_cached(self) -> None:
+    def restore_cached_list(self) -> None:
         """Pass the cached list to the listener, if there is a valid one."""
         if not self.cached_list:
             return
--- a/ryepier/sidecar/serving.py
+++ b/ryepier/sidecar/serving.py
@@ -42,7 +42,7 @@
     dispatcher = RequestDispatcher(sidecar_config.settings, sidecar_config.seed, pool)
     source = components.source(sidecar_config, dispatcher)
     dispatcher.subscribe = source.subscribe
-    source.restore_cached()
+    source.restore_cached_list()
     dispatcher.start()
     source.start()
     front_ends = [make_front_end(sidecar_config, dispatcher) for make_front_end in components.front_ends]
--- a/ryepier/sim/link.py
+++ b/ryepier/sim/link.py
@@ -97,7 +97,7 @@
         latency_s = self.network.random.uniform(*self.link.latency_range_s)
         arrival_s = max(self._last_arrival_s + MIN_SEGMENT_SPACING_S, loop.now_s + latency_s)
         self._last_arrival_s = arrival_s
-        loop.call_at_run_time(arrival_s, self._deliver_or_delay, deliver, context=NETWORK_CONTEXT)
+        loop.call_at_virtual_time(arrival_s, self._deliver_or_delay, deliver, context=NETWORK_CONTEXT)
 
     def _deliver_or_delay(self, deliver: Delivery) -> None:
         if self.link.partitioned or self.link.delayed_deliveries:
--- a/ryepier/sim/loop.py
+++ b/ryepier/sim/loop.py
@@ -51,7 +51,7 @@
         """Return the virtual time in seconds."""
         return self.now_s
 
-    def call_at_run_time(self, when_s: float, callback: Any, *args: Any, context: contextvars.Context) -> None:
+    def call_at_virtual_time(self, when_s: float, callback: Any, *args: Any, context: contextvars.Context) -> None:
         """Schedule a callback at a time of the run's clock, regardless of the clock rate of the running process."""
         asyncio.BaseEventLoop.call_at(self, when_s, callback, *args, context=context)
 
--- a/ryepier/slices/slice_source.py
+++ b/ryepier/slices/slice_source.py
@@ -87,7 +87,7 @@
 
     # Interface of EndpointSource
 
-    def restore_cached(self) -> None:
+    def restore_cached_list(self) -> None:
         """Publish the cached list, if there is a valid one, so that the sidecar can serve without the API server."""
         if self.settings.cache_file is None:
             return
--- a/tests/api_server_testbed.py
+++ b/tests/api_server_testbed.py
@@ -78,7 +78,7 @@
             **options,
         )
         self.source = SliceSource(settings, self.on_update, clock_us)
-        self.source.restore_cached()
+        self.source.restore_cached_list()
         self.source.start()
         return self.source
 
--- a/tests/faulty_discovery.py
+++ b/tests/faulty_discovery.py
@@ -185,7 +185,7 @@
     registry = EndpointRegistry(["a"], ["m"])
     client = DiscoveryClient(("127.0.0.1", agent.port), registry, listener, is_pushed, cached_list=OLD_LIST)
     dispatcher.subscribe = client.subscribe
-    client.restore_cached()
+    client.restore_cached_list()
     dispatcher.start()
     client.start()
     return client
--- a/tests/test_graphql_front.py
+++ b/tests/test_graphql_front.py
@@ -43,7 +43,7 @@
         self.dispatcher = dispatcher
         self.port = port
 
-    def restore_cached(self) -> None:
+    def restore_cached_list(self) -> None:
         if self.port:
             self.dispatcher.on_endpoints(UpstreamsUpdated(ListKind.FULL, [Upstream(1)]), {1: ("127.0.0.1", self.port)})
 
@@ -54,7 +54,7 @@
         pass
 
     def subscribe(self, active: bool) -> None:
-        self.restore_cached()
+        self.restore_cached_list()
 
     def upstream_ids(self) -> dict[str, int]:
         return {"c1": 1}
--- a/tests/test_load_spread.py
+++ b/tests/test_load_spread.py
@@ -20,14 +20,14 @@
 FLEET_PLAN = FleetPlan(sidecars=30, converters=20, load=0.5, duration_us=6 * SECOND_US)
 
 
-def received_times(world: FleetWorld) -> list[list[int]]:
+def received_times_us(world: FleetWorld) -> list[list[int]]:
     return [converter.arrival_times_us for converter in world.converters]
 
 
 def test_random_choice_has_the_expected_variation_and_serves_requests() -> None:
     world = FleetWorld(FLEET_PLAN, 1, choosers.make_random_choice)
     world.run()
-    spread = measures.measure_spread(received_times(world), START_US, world.now_us)
+    spread = measures.measure_spread(received_times_us(world), START_US, world.now_us)
     # with 20 converters, the measured standard deviation has a relative error of about a sixth
     assert 0.5 < spread.variation_ratio < 1.5
     ended_requests = [request for request in world.requests if request.ended_us]
@@ -49,7 +49,7 @@
     first, second = FleetWorld(FLEET_PLAN, 3), FleetWorld(FLEET_PLAN, 3)
     first.run()
     second.run()
-    assert received_times(first) == received_times(second)
+    assert received_times_us(first) == received_times_us(second)
 
 
 def test_overloaded_fleet_ends_every_request_and_bounds_executions() -> None:
@@ -153,7 +153,9 @@
     )
     world = FleetWorld(plan, seed)
     world.run()
-    counts = measures.counts_in_windows(received_times(world), START_US + begin_us, world.now_us, 5 * SECOND_US)[:, 0]
+    counts = measures.counts_in_windows(received_times_us(world), START_US + begin_us, world.now_us, 5 * SECOND_US)[
+        :, 0
+    ]
     restart_flags = [bool(converter.started_us) for converter in world.converters]
     other_counts = [count for count, is_restarted in zip(counts, restart_flags, strict=True) if not is_restarted]
     mean_of_others = sum(other_counts) / len(other_counts)
--- a/tests/test_sidecar_components.py
+++ b/tests/test_sidecar_components.py
@@ -24,7 +24,7 @@
         self.port = port
         self.reloaded_addresses: list[tuple[str, int]] = []
 
-    def restore_cached(self) -> None:
+    def restore_cached_list(self) -> None:
         self.dispatcher.on_endpoints(UpstreamsUpdated(ListKind.CACHED, [Upstream(7)]), {7: ("127.0.0.1", self.port)})
 
     def start(self) -> None:
