--- a/ryepier/emulator/discovery.py
+++ b/ryepier/emulator/discovery.py
@@ -97,7 +97,7 @@
 
 
 class Agent:
-    """One sidecar's discovery agent, on its socket."""
+    """The discovery agent of one sidecar: a server for the endpoint list and for watches of its changes."""
 
     def __init__(self, owner: AgentOwner, sidecar: int, listing: Listing) -> None:
         """Start with the full list at the beginning of the run; `listen` opens the socket."""
--- a/ryepier/emulator/simulated_processes.py
+++ b/ryepier/emulator/simulated_processes.py
@@ -88,9 +88,9 @@
             self.loop.set_rate(self.process_name, step.factor if step.action is FaultAction.SET_CLOCK_RATE else 1.0)
 
     def incarnations_relative_to(self, origin_us: int) -> list[Incarnation]:
-        """Return the records of all processes, with times counted from `origin_us`.
+        """Return the records of all incarnations, with times relative to `origin_us`.
 
-        The current time is recorded as the end of a process that is still running.
+        The current time is recorded as the end of an incarnation that is still running.
         """
         for incarnation in self.incarnations:
             incarnation.end_suspension(monotonic_us())
--- a/ryepier/experiments/graphql/reset_queries.py
+++ b/ryepier/experiments/graphql/reset_queries.py
@@ -47,11 +47,12 @@
 
     @property
     def min_served_share(self) -> float:
-        """Return the smallest share of the retried queries that has to be served, by up to two retries per query.
+        """Return the lower bound on `served_share`, assuming at most two retries per query.
 
-        The bound is the quantile at `QUANTILE_LEVEL` of a binomial distribution. Its success probability is that of a
-        first retry that is not reset, or of a second one after a first that is reset. Resets have the run's frequency,
-        and a second retry is possible as often as a reset left a retry in the budget. A third retry is ignored.
+        The bound is the quantile at `QUANTILE_LEVEL` of a binomial distribution. A query
+        succeeds if its first retry is not reset, or if that is reset but a second retry is possible and is not reset. A
+        retry is reset with the frequency of resets in the run, and a second retry is possible with the frequency of
+        resets after which the query had an attempt left and the budget a retry. Third retries are ignored.
         """
         reset_share = self.reset_count / max(1, self.attempt_count)
         second_retry_share = reset_share * self.retriable_count / max(1, self.reset_count)
--- a/ryepier/experiments/maintenance/overlap.py
+++ b/ryepier/experiments/maintenance/overlap.py
@@ -34,7 +34,7 @@
 LAST_SUBMISSION_S = 5.0
 MAX_EARLIEST_MS = 2_000
 DEADLINE_RANGE_MS = (15_000, 17_000)  # time from the submission to the deadline
-TOO_SHORT_DEADLINE_MS = 3_000  # shorter than one window
+TOO_SHORT_DEADLINE_MS = 3_000  # less than `DURATION_MS` plus the warm-up of a converter, 1.5 s in this world
 UNKNOWN_CONVERTER = "c-none"
 
 
--- a/ryepier/experiments/scale/call.py
+++ b/ryepier/experiments/scale/call.py
@@ -349,7 +349,7 @@
             "<=",
             MAX_US_PER_KNOWN_CONVERTER,
         ),
-        # the balancer's own cost has a separate claim, as a sidecar that can't keep up spends more on each call
+        # a separate claim bounds the balancer's own cost, because an overloaded sidecar spends more CPU time per call
         Claim(
             "of it, the module's part by itself (us)",
             figures["fit_module_us_a_call_per_unit"],
--- a/ryepier/experiments/scale/capacity/plan.py
+++ b/ryepier/experiments/scale/capacity/plan.py
@@ -46,7 +46,7 @@
 
     @property
     def converters_per_zone(self) -> int:
-        """Return the converters in one zone."""
+        """Return the number of converters in one zone."""
         return self.converters // self.zones
 
     @property
--- a/ryepier/experiments/scale/failure.py
+++ b/ryepier/experiments/scale/failure.py
@@ -45,8 +45,8 @@
 # sidecars that know all converters, at which losses of `BURST_SIZES` converters are measured
 LISTENER_COUNT = {Scale.SMALL: 8, Scale.FULL: 24}
 FLEET_SIZES = {Scale.SMALL: (40, 80, 120, 160), Scale.FULL: (200, 400, 800, 1600)}
-# converters that the sidecars of the growing fleet know; the cost of sending a change does not depend on it, and full
-# lists for 1,600 sidecars would not fit into memory
+# converters that the sidecars of the growing fleet know; the cost of sending a change does not depend on their
+# number, and full lists for 1,600 sidecars would not fit into memory
 FLEET_KNOWN_COUNT = 250
 PROCESS_COUNT = 4
 LIST_TIMEOUT_S = 25.0
--- a/ryepier/fronts/graphql.py
+++ b/ryepier/fronts/graphql.py
@@ -63,7 +63,7 @@
     """Raised for a request that is not accepted and whose response is a GraphQL error."""
 
     def __init__(self, error: GraphqlError, accepted_type: str) -> None:
-        """Convert `error` into a response of the media type `accepted_type`; the connection stays open."""
+        """Store the content of `error`, for a response of media type `accepted_type` that keeps the connection open."""
         super().__init__(error.status, error.text, keeps_connection=True)
         self.code = error.code
         self.allow = error.allow
--- a/ryepier/graphql/classify.py
+++ b/ryepier/graphql/classify.py
@@ -59,7 +59,9 @@
         self._check_rule("queries", FieldRule(self.query_class))
         self._check_rule("mutations", FieldRule(self.mutation_class))
         if self.idempotency(self.query_class) is Idempotency.IDEMPOTENCY_KEY:
-            raise ValueError(f"queries: class {self.query_class!r} needs a key, but the default for queries has none")
+            raise ValueError(
+                f"queries: class {self.query_class!r} requires an idempotency key, but queries without a rule have none"
+            )
         if self.idempotency(self.mutation_class) is not Idempotency.NON_IDEMPOTENT:
             raise ValueError(
                 f"mutations: requests of class {self.mutation_class!r} may run more than once, "
--- a/ryepier/sim/loop.py
+++ b/ryepier/sim/loop.py
@@ -52,7 +52,7 @@
         return self.now_s
 
     def call_at_virtual_time(self, when_s: float, callback: Any, *args: Any, context: contextvars.Context) -> None:
-        """Schedule a callback at a time of the run's clock, regardless of the clock rate of the running process."""
+        """Schedule a callback at the virtual time `when_s`, regardless of the clock rate of the running process."""
         asyncio.BaseEventLoop.call_at(self, when_s, callback, *args, context=context)
 
     def advance(self, timeout: float | None) -> None:
--- a/tests/known_red_plugin.py
+++ b/tests/known_red_plugin.py
@@ -96,10 +96,10 @@
 
 
 class RunJudge:
-    """Prints the list, collects the endings of the listed tests, and judges the run."""
+    """Prints the list of known failures, records how the listed tests end, and fails runs that contradict it."""
 
     def __init__(self, config: pytest.Config, listing: Listing) -> None:
-        """Start without any collected tests or endings, before pytest collects the tests."""
+        """Start with no collected or selected tests and no endings; the hooks record them during the run."""
         self.config = config
         self.listing = listing
         self.collected: set[str] = set()
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -36,7 +36,7 @@
 
 
 def test_architecture_page_references_each_decision_module() -> None:
-    """Each concern of the decisions is a module of its own, and the page has a reference to it."""
+    """The page must reference each of the balancer's modules that implement one kind of decision."""
     concerns = ("admission", "concurrency", "outlier_detection", "selection", "slow_start", "subsetting", "retries")
     missing = [concern for concern in concerns if f"`balancer.{concern}:" not in ARCHITECTURE_PAGE]
     assert missing == []
--- a/tests/test_load_spread_processes.py
+++ b/tests/test_load_spread_processes.py
@@ -136,7 +136,7 @@
 
 
 def first_notices_us(run: Run, uid: str, state: str) -> dict[int, int]:
-    """Return when each sidecar was first notified that a converter has a state."""
+    """Return, by sidecar, the time of the first notice that the converter `uid` is in `state`."""
     at_us_by_sidecar: dict[int, int] = {}
     for notice in run.history.notices:
         if notice.uid == uid and notice.state == state:
