--- a/ryepier/experiments/maintenance/overlap.py
+++ b/ryepier/experiments/maintenance/overlap.py
@@ -34,7 +34,7 @@
 LAST_SUBMISSION_S = 5.0
 MAX_EARLIEST_MS = 2_000
 DEADLINE_RANGE_MS = (15_000, 17_000)  # time from the submission to the deadline
-TOO_SHORT_DEADLINE_MS = 3_000  # shorter than one window
+TOO_SHORT_DEADLINE_MS = 3_000  # less than `DURATION_MS` plus the warm-up of a converter, 1.5 s in this world
 UNKNOWN_CONVERTER = "c-none"
 
 
@@ -68,11 +68,11 @@
 
 def _invalid_requests(region: str, converters: Sequence[str]) -> list[PlannedRequest]:
     """Return requests with too little time, with the same converter twice, and with an unknown converter."""
-    latest_ms = DEADLINE_RANGE_MS[1]
+    latest_deadline_ms = DEADLINE_RANGE_MS[1]
     return [
         _invalid_request(region, "no-time", (converters[0],), TOO_SHORT_DEADLINE_MS),
-        _invalid_request(region, "twice", (converters[1], converters[1]), latest_ms),
-        _invalid_request(region, "unknown", (UNKNOWN_CONVERTER,), latest_ms),
+        _invalid_request(region, "twice", (converters[1], converters[1]), latest_deadline_ms),
+        _invalid_request(region, "unknown", (UNKNOWN_CONVERTER,), latest_deadline_ms),
     ]
 
 
